--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -1,4 +1,4 @@
-//! What zone leaders have allotted to this entry instance.
+//! Slots and units that zone leaders have allotted to this entry instance.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,7 +10,8 @@
 use crate::wire::Balance;
 
 impl Gate {
-    /// Sets until when what `source` has allotted may be used.
+    /// Extends the lease on what `source` has allotted to `until`. A time before its
+    /// present expiry is ignored.
     pub fn renew(&mut self, source: SourceKey, until: Moment) {
         let at = usize::from(source.0);
         if self.expiries.len() <= at {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Returns until when what `source` has allotted may be used.
+    /// Returns when the lease on what `source` has allotted expires.
     pub fn expiry(&self, source: SourceKey) -> Moment {
         self.expiries
             .get(usize::from(source.0))
@@ -33,12 +34,12 @@
             .unwrap_or_default()
     }
 
-    /// Sets which source the team units come from.
+    /// Sets the zone whose leader allots the units of team limits.
     pub const fn set_team_source(&mut self, source: SourceKey) {
         self.team_source = source;
     }
 
-    /// Adds an upstream or takes its new announcement.
+    /// Adds an upstream, or updates the announcement of a known one.
     pub fn put_upstream(
         &mut self,
         announcement: Announcement,
@@ -63,7 +64,7 @@
         key
     }
 
-    /// Marks an upstream as leaving or as staying.
+    /// Sets whether an upstream is leaving. A leaving one is sent no new requests.
     pub fn set_leaving(&mut self, cell: Cell, leaving: bool) {
         if let Some(&key) = self.cells.get(&cell) {
             if let Some(upstream) = self.upstreams.get_mut(&key) {
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Forgets upstreams that take nothing new and of which nothing is held.
+    /// Removes leaving upstreams of which no slots are held or in use.
     ///
-    /// Their counters are kept for the epoch, since the issuer goes on from them if
-    /// the same incarnation comes back.
+    /// Their counters are kept until the accounts are reopened, since the issuer
+    /// continues from them if the same incarnation returns.
     pub fn sweep(&mut self) {
         let idle: Vec<UpstreamKey> = self
             .upstreams
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Records how many slots of an upstream have been given in all.
+    /// Records the total of slots of an upstream given since its account was opened.
     pub fn receive_slots(&mut self, cell: Cell, given: u64) {
         let Some(&key) = self.cells.get(&cell) else {
             return;
@@ -104,7 +105,7 @@
         self.change_holding(key, |holding| holding.receive(given));
     }
 
-    /// Records the given counters of team units.
+    /// Records the totals of team units given since their accounts were opened.
     pub fn receive_unit_balances(&mut self, balances: &[Balance]) {
         let by_cell: HashMap<u64, u64> = balances.iter().map(|b| (b.cell, b.given)).collect();
         if by_cell.is_empty() {
@@ -115,7 +116,7 @@
                 team.holding.receive(given);
             }
         }
-        // The configuration that names the team may still be on its way.
+        // Balances may arrive before the configuration that adds their team.
         for balance in balances {
             self.early_units.insert(Cell(balance.cell), balance.given);
         }
@@ -123,8 +124,9 @@
         self.early_units.retain(|cell, _| !known.contains(cell));
     }
 
-    /// Closes all slot accounts of `source` and opens them anew; yields the opening
-    /// balances. Idle slots are kept only while the allotment has not expired.
+    /// Reopens all slot accounts of `source` and returns the opening balances. Idle
+    /// slots are kept only if the allotment has not expired, since another entry
+    /// instance may hold them after that; slots in use are always kept.
     pub fn reopen_slots(&mut self, now: Moment, source: SourceKey) -> Vec<(Cell, u64)> {
         let keep = now < self.expiry(source);
         self.retired.retain(|_, (of, _)| *of != source);
@@ -139,7 +141,7 @@
         opening
     }
 
-    /// Does for team units what [`Gate::reopen_slots`] does for slots.
+    /// Reopens all team unit accounts by the rules of [`Gate::reopen_slots`].
     pub fn reopen_units(&mut self, now: Moment) -> Vec<(Cell, u64)> {
         let keep = now < self.expiry(self.team_source);
         self.early_units.clear();
@@ -161,7 +163,7 @@
             .collect()
     }
 
-    /// Returns up to `units` idle slots of a service to `source`.
+    /// Returns up to `units` idle slots of a service to the leader of `source`.
     pub fn return_slots(&mut self, source: SourceKey, service: &str, units: u64) {
         let Some(service) = self.service(service) else {
             return;
@@ -181,7 +183,8 @@
         }
     }
 
-    /// Returns all idle slots of `source`; false once it has lent nothing more.
+    /// Returns all idle slots to the leader of `source`. The result is whether any slots were held
+    /// before.
     pub fn return_source(&mut self, source: SourceKey) -> bool {
         let mut unsettled = false;
         for key in self.keys_of(source) {
@@ -208,7 +211,7 @@
         self.teams[team.0 as usize].holding.give_back(units);
     }
 
-    /// Returns everything idle, before a planned stop.
+    /// Returns all idle slots and units, before a planned shutdown.
     pub fn return_all(&mut self) {
         let keys: Vec<UpstreamKey> = self.upstreams.keys().copied().collect();
         for key in keys {
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -1,8 +1,9 @@
-//! Admission at one entry instance: which request runs next, and where.
+//! Admission control of one entry instance: which request runs next, and on which
+//! upstream.
 //!
-//! The gate holds what zone leaders have allotted to this entry instance, slots
-//! of upstreams and units of team limits, and decides every request out of that
-//! without asking anyone.
+//! Zone leaders allot slots of upstreams and units of team limits to the entry
+//! instance in advance, so that each request is admitted from local state without a
+//! network round trip.
 
 mod allotment;
 mod queue;
@@ -23,12 +24,12 @@
 use crate::core::time::Moment;
 use crate::error::Kind;
 
-/// Requests that one team may have waiting for one service.
+/// Most requests that one team may have waiting for one service, unless configured.
 pub const DEFAULT_QUEUE_LIMIT: usize = 1_000;
-/// Shortest advice to a refused caller on when to come back.
+/// Lower bound of the retry delay given with a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// A team's units of limit at this entry instance.
+/// A team, its usage and the units of its limit allotted to this entry instance.
 #[derive(Debug)]
 struct Team {
     name: String,
@@ -39,7 +40,7 @@
     slot_time: Duration,
 }
 
-/// A service and its waiting requests.
+/// A service, its queue and its upstreams with an idle slot.
 #[derive(Debug)]
 struct Service {
     name: String,
@@ -59,7 +60,9 @@
     service_names: HashMap<String, ServiceKey>,
     upstreams: BTreeMap<UpstreamKey, Upstream>,
     cells: HashMap<Cell, UpstreamKey>,
+    /// Accounts of removed upstreams.
     retired: HashMap<Cell, (SourceKey, Account)>,
+    /// Units given to teams that have not been added yet.
     early_units: HashMap<Cell, u64>,
     next_upstream: u32,
     expiries: Vec<Moment>,
@@ -69,7 +72,7 @@
 }
 
 impl Gate {
-    /// Makes an empty gate.
+    /// Returns a gate without teams, services or upstreams.
     pub fn new() -> Self {
         Self::default()
     }
@@ -118,38 +121,39 @@
         key
     }
 
-    /// Returns the key of a known team.
+    /// Returns the key of a team, or `None` if it has not been added.
     pub fn team(&self, name: &str) -> Option<TeamKey> {
         self.team_names.get(name).copied()
     }
 
-    /// Returns the key of a known service.
+    /// Returns the key of a service, or `None` if it has not been added.
     pub fn service(&self, name: &str) -> Option<ServiceKey> {
         self.service_names.get(name).copied()
     }
 
-    /// Returns the upstream under `key`.
+    /// Returns the upstream under `key`, or `None` if it has been removed.
     pub fn upstream(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.upstreams.get(&key)
     }
 
-    /// Returns all upstreams.
+    /// Returns all upstreams in the order of their keys.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// Stops taking new requests; what waits goes on.
+    /// Refuses new requests from now on. Waiting requests are still started.
     pub const fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Returns whether nothing waits and nothing runs.
+    /// Returns whether no request is waiting or running.
     pub fn is_idle(&self) -> bool {
         self.services.iter().all(|s| s.queue.is_empty())
             && self.upstreams.values().all(|u| u.holding.in_use() == 0)
     }
 
-    /// Returns requests waiting and running by service and team, where not zero.
+    /// Returns the numbers of waiting and running requests for each service and team
+    /// that has any.
     pub fn demands(&self) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (i, service) in (0u32..).zip(&self.services) {
@@ -181,14 +185,14 @@
         &self.teams[key.0 as usize].name
     }
 
-    /// Returns the slots in use and those allotted, over all upstreams.
+    /// Returns the slots in use and the slots allotted, summed over all upstreams.
     pub fn slots(&self) -> (u64, u64) {
         self.upstreams.values().fold((0, 0), |(used, allowed), u| {
             (used + u.holding.in_use(), allowed + u.holding.allowed())
         })
     }
 
-    /// Returns whether something waits that this instance lacks slots or units for.
+    /// Returns whether a request is waiting, for lack of slots or of units.
     pub fn is_starved(&self) -> bool {
         self.services.iter().any(|s| !s.queue.is_empty())
     }
@@ -200,8 +204,7 @@
             .map(|(i, s)| (ServiceKey(i), s.name.as_str()))
     }
 
-    /// Returns for each team its name, share, completed requests, slot time used,
-    /// units in use and requests waiting.
+    /// Returns the statistics of each team in the order of their keys.
     pub fn team_stats(&self) -> Vec<TeamStat> {
         (0u32..)
             .zip(&self.teams)
@@ -221,7 +224,12 @@
             .collect()
     }
 
-    /// Takes a request, lets it wait, or refuses it.
+    /// Starts, queues or refuses a request.
+    ///
+    /// Refuses it with [`Kind::Draining`] while draining, with
+    /// [`Kind::DeadlineUnmeetable`] if it is not expected to be answered in time, and
+    /// with [`Kind::Overloaded`] if its team's queue is full of requests that rank
+    /// before it.
     pub fn submit(&mut self, now: Moment, request: Request) -> Admission {
         if self.draining {
             return refuse(Kind::Draining, Duration::ZERO);
@@ -242,13 +250,14 @@
         self.enqueue(now, request)
     }
 
-    /// Removes a waiting request whose caller has gone.
+    /// Removes a waiting request whose caller has disconnected. The result is whether it
+    /// was still waiting.
     pub fn cancel(&mut self, service: ServiceKey, ticket: Ticket) -> bool {
         let service = &mut self.services[service.0 as usize];
         service.queue.remove(ticket).is_some()
     }
 
-    /// Starts waiting requests for which there is capacity.
+    /// Starts all waiting requests for which there is capacity.
     pub fn pump(&mut self, now: Moment) -> Vec<(Ticket, Assignment)> {
         let mut started = Vec::new();
         for i in 0..self.services.len() {
@@ -275,7 +284,7 @@
         Some((ticket, assignment))
     }
 
-    /// Removes waiting requests that can no longer meet their deadlines.
+    /// Removes and returns the waiting requests that can no longer meet their deadlines.
     pub fn expire(&mut self, now: Moment) -> Vec<Ticket> {
         self.services
             .iter_mut()
@@ -294,7 +303,11 @@
         self.assign(now, service, team, Some(avoid))
     }
 
-    /// Ends an assignment and frees what it used.
+    /// Ends an assignment: releases its slot and unit, and records the exchange.
+    ///
+    /// The team was charged the estimated service time at the start. An answered
+    /// exchange is charged what it took beyond the present estimate, a failed one its
+    /// whole time in addition, and an unsent one nothing more.
     pub fn finish(&mut self, now: Moment, done: Assignment, exchange: Exchange) {
         let took = now.since(done.at);
         let team = &mut self.teams[done.team.0 as usize];
@@ -337,13 +350,14 @@
         self.refresh(key);
     }
 
-    /// Avoids an upstream for a while, ahead of the end of its exchange.
+    /// Suspends an upstream before the exchange with it has ended.
     pub fn suspect(&mut self, now: Moment, key: UpstreamKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.record_failure(now);
         }
     }
 
+    /// Takes one unit of the team's limit and one slot of an upstream, if both are idle.
     fn assign(
         &mut self,
         now: Moment,
@@ -372,6 +386,8 @@
         })
     }
 
+    /// Chooses an upstream with an idle slot, other than `avoid`. A suspended one is
+    /// chosen only if there is no other.
     fn choose(
         &mut self,
         now: Moment,
@@ -397,7 +413,8 @@
             chosen = Some(key);
             break;
         }
-        // Expired entries come back into the index with the next renewal.
+        // Upstreams with an expired allotment are added to the index again when it is
+        // renewed.
         for key in dark {
             let upstream = self.upstreams.get_mut(&key).expect("indexed upstream");
             self.services[service.0 as usize].index.drop_entry(upstream);
@@ -405,6 +422,10 @@
         chosen.or(fallback)
     }
 
+    /// Returns the expected wait if it would make the request miss its deadline.
+    ///
+    /// The team is expected to run its share of the service's slots among the teams
+    /// with waiting requests. Without slots or an estimate nothing can be said.
     fn unmeetable_wait(&self, now: Moment, request: &Request) -> Option<Duration> {
         let service = &self.services[request.service.0 as usize];
         let estimate = service.queue.estimate(now);
@@ -441,6 +462,7 @@
         Admission::Wait { ticket, displaced }
     }
 
+    /// Changes the holding of an upstream, and the index and the service's sum with it.
     pub(super) fn change_holding(&mut self, key: UpstreamKey, change: impl FnOnce(&mut Holding)) {
         let upstream = self.upstreams.get_mut(&key).expect("known upstream");
         let service = &mut self.services[upstream.service.0 as usize];
--- a/src/core/gate/queue.rs
+++ b/src/core/gate/queue.rs
@@ -1,5 +1,5 @@
-//! Waiting requests of one service: weighted fair queueing between teams, worth
-//! and deadline within a team.
+//! Request queue of one service: weighted fair queueing between teams; by worth, then
+//! deadline within a team.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,14 +7,15 @@
 use super::{Request, TeamKey, Ticket};
 use crate::core::time::Moment;
 
-/// Fixed-point scale of virtual time for each unit of share.
+/// Fixed-point factor of virtual time: one microsecond of slot time advances a team of
+/// share 1 by this much.
 const VIRTUAL_SCALE: u64 = 1_000;
-/// Waiting time assumed for one request before any has been measured.
+/// Service time estimate before the first sample.
 const UNMEASURED: Duration = Duration::ZERO;
-/// The estimate halves each time this long passes without a sample.
+/// Time without a sample after which the service time estimate halves.
 const ESTIMATE_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Place in a team's queue: most worth first, then earliest deadline, then arrival.
+/// Sort key in a team's queue: highest worth first, then earliest deadline, then arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     worth: std::cmp::Reverse<u64>,
@@ -32,14 +33,14 @@
     }
 }
 
-/// Requests of one team that wait for one service.
+/// Waiting requests of one team and the virtual time up to which it has been charged.
 #[derive(Debug, Default)]
 struct Line {
     waiting: BTreeMap<Rank, Request>,
     virtual_time: u64,
 }
 
-/// Requests of all teams that wait for one service.
+/// Waiting requests of all teams for one service, and its service time estimate.
 #[derive(Debug, Default)]
 pub struct Queue {
     lines: BTreeMap<TeamKey, Line>,
@@ -52,12 +53,12 @@
 }
 
 impl Queue {
-    /// Returns the number of waiting requests.
+    /// Returns the number of waiting requests of all teams.
     pub fn len(&self) -> usize {
         self.ranks.len()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.ranks.is_empty()
     }
@@ -74,14 +75,15 @@
             .map(|&(_, team)| (team, self.len_of(team)))
     }
 
-    /// Returns the expected time that an upstream takes for one request.
+    /// Returns the expected service time of one request. It halves with each half-life
+    /// without a sample, so that an outdated estimate does not refuse requests for long.
     pub fn estimate(&self, now: Moment) -> Duration {
         let halvings = now.since(self.sampled).as_secs() / ESTIMATE_HALF_LIFE.as_secs();
         let shift = u32::try_from(halvings).unwrap_or(u32::MAX).min(31);
         self.estimate / (1 << shift)
     }
 
-    /// Takes one measured service time into the estimate.
+    /// Adds one measured service time to the estimate, a moving average of weight 1/8.
     pub fn sample(&mut self, now: Moment, took: Duration) {
         let old = self.estimate(now);
         self.estimate = if old == UNMEASURED {
@@ -92,7 +94,7 @@
         self.sampled = now;
     }
 
-    /// Returns how many of `team`'s waiting requests would go before `request`.
+    /// Returns how many waiting requests of the same team rank before `request`.
     pub fn ahead_of(&self, request: &Request) -> usize {
         let rank = Rank::of(Ticket::MAX, request);
         self.lines
@@ -100,7 +102,8 @@
             .map_or(0, |line| line.waiting.range(..rank).count())
     }
 
-    /// Adds a request.
+    /// Adds a request. A team without waiting requests joins no earlier than the
+    /// queue's virtual time, so that it earns no credit while idle.
     pub fn push(&mut self, ticket: Ticket, request: Request) {
         let rank = Rank::of(ticket, &request);
         let line = self.lines.entry(request.team).or_default();
@@ -113,7 +116,7 @@
         self.ranks.insert(ticket, (request.team, rank));
     }
 
-    /// Removes one waiting request.
+    /// Removes a waiting request and returns it, or `None` if it is not waiting.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Request> {
         let (team, rank) = self.ranks.remove(&ticket)?;
         let line = self.lines.get_mut(&team)?;
@@ -125,8 +128,8 @@
         Some(request)
     }
 
-    /// Removes and returns the last-ranked request of `team` if `request` ranks
-    /// before it.
+    /// Removes the last-ranked request of the same team if `request` ranks before it,
+    /// and returns its ticket.
     pub fn displace(&mut self, request: &Request) -> Option<Ticket> {
         let rank = Rank::of(Ticket::MAX, request);
         let (&last, _) = self.lines.get(&request.team)?.waiting.last_key_value()?;
@@ -137,14 +140,15 @@
         Some(last.ticket)
     }
 
-    /// Returns the next request by fair queueing, among teams that `may_run` admits.
+    /// Returns the first request of the team with the least virtual time among those for
+    /// which `may_run` holds.
     pub fn peek(&self, mut may_run: impl FnMut(TeamKey) -> bool) -> Option<(Ticket, Request)> {
         let &(_, team) = self.active.iter().find(|&&(_, team)| may_run(team))?;
         let (rank, request) = self.lines.get(&team)?.waiting.first_key_value()?;
         Some((rank.ticket, *request))
     }
 
-    /// Charges `took` of slot time to `team`, which has the given share.
+    /// Advances the virtual time of `team` by `took` of slot time divided by its share.
     pub fn charge(&mut self, team: TeamKey, took: Duration, share: u32) {
         let Some(line) = self.lines.get_mut(&team) else {
             return;
@@ -161,7 +165,8 @@
         self.advance();
     }
 
-    /// Makes sure that `team` has a line to charge.
+    /// Adds `team` if it is missing, so that it can be charged. Without waiting requests
+    /// it starts no earlier than the queue's virtual time.
     pub fn open_line(&mut self, team: TeamKey) {
         let clock = self.clock;
         let line = self.lines.entry(team).or_default();
@@ -170,7 +175,8 @@
         }
     }
 
-    /// Removes requests that can no longer be answered by their deadlines.
+    /// Removes requests that would miss their deadlines even if started at `now`, and
+    /// returns their tickets.
     pub fn expire(&mut self, now: Moment) -> Vec<Ticket> {
         let horizon = now + self.estimate(now);
         let late: Vec<Ticket> = self
@@ -184,7 +190,7 @@
         late
     }
 
-    /// Removes everything.
+    /// Removes all requests and returns their tickets.
     pub fn drain(&mut self) -> Vec<Ticket> {
         let tickets: Vec<Ticket> = self.ranks.keys().copied().collect();
         for &ticket in &tickets {
@@ -193,8 +199,8 @@
         tickets
     }
 
-    // The queue's clock is the least virtual time of an active team: a team that
-    // was away starts from there and claims nothing for its absence.
+    // The queue's virtual time is the least one of a team with waiting requests. A team
+    // that was idle joins no earlier, so that it earns no credit for that time.
     fn advance(&mut self) {
         if let Some(&(first, _)) = self.active.first() {
             self.clock = self.clock.max(first);
--- a/src/core/gate/types.rs
+++ b/src/core/gate/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the gate and what comes out.
+//! Input and output types of the gate.
 
 use std::time::Duration;
 
@@ -7,79 +7,79 @@
 use crate::core::time::Moment;
 use crate::error::Kind;
 
-/// Addresses a team in the gate.
+/// Key of a team in the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TeamKey(pub u32);
 
-/// Addresses a service in the gate.
+/// Key of a service in the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceKey(pub u32);
 
-/// Addresses an upstream in the gate.
+/// Key of an upstream in the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamKey(pub u32);
 
-/// Addresses a zone leader that allots capacity.
+/// Key of a zone whose leader allots capacity to this entry instance.
 #[derive(
     Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct SourceKey(pub u16);
 
-/// Names a waiting request.
+/// Identifier of a waiting request. Later requests have higher ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ticket(pub u64);
 
 impl Ticket {
-    /// Sorts after every ticket in use.
+    /// Sorts after every issued ticket.
     pub const MAX: Self = Self(u64::MAX);
 }
 
-/// What the gate needs to know of a request.
+/// Attributes of a request that its admission depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Team whose key came with it.
+    /// Team that the request counts for, by the key sent with it.
     pub team: TeamKey,
-    /// Service it is for.
+    /// Requested service.
     pub service: ServiceKey,
-    /// Worth to the caller if answered in time; any unit, compared within a team.
+    /// Value to the caller of an answer in time, in any unit. Compared only within a team.
     pub worth: u64,
-    /// When the answer stops being of use.
+    /// Time after which an answer is useless to the caller.
     pub deadline: Moment,
 }
 
-/// A slot and a unit of team limit in use for one request.
+/// A slot of an upstream and a unit of a team's limit in use for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// Upstream to send to.
+    /// Upstream that the request is sent to.
     pub upstream: UpstreamKey,
     /// Team that the request counts for.
     pub team: TeamKey,
     /// Service of the request.
     pub service: ServiceKey,
-    /// When the slot was taken.
+    /// Time at which the slot was taken.
     pub at: Moment,
 }
 
-/// Why and with what advice a request was not taken.
+/// Reason for which a request was refused, with advice on a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Kind of the refusal.
+    /// Error kind returned to the caller.
     pub kind: Kind,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// Requests of one team for one service at one entry instance.
+/// Numbers of requests of one team for one service at one entry instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Service.
+    /// Requested service.
     pub service: ServiceKey,
-    /// Team.
+    /// Team that the requests count for.
     pub team: TeamKey,
     /// Requests waiting.
     pub waiting: u64,
@@ -90,45 +90,45 @@
 /// Answer to a submitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Runs now.
+    /// The request starts now.
     Start(Assignment),
-    /// Waits. The ticket in `displaced`, if any, has lost its place.
+    /// The request was queued.
     Wait {
-        /// Names the waiting request.
+        /// Identifier of the waiting request.
         ticket: Ticket,
-        /// Request of less worth that was removed from the full queue.
+        /// Lower-ranked request that was removed from the full queue to make room.
         displaced: Option<Ticket>,
     },
-    /// Not taken.
+    /// The request was not admitted.
     Refuse(Refusal),
 }
 
 /// How an exchange with an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exchange {
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered,
-    /// It failed or timed out.
+    /// The exchange failed or timed out.
     Failed,
-    /// It was never sent.
+    /// The request was not sent.
     Unsent,
 }
 
-/// Figures of one team at one entry instance.
+/// Statistics of one team at one entry instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamStat {
     /// Name of the team.
     pub team: String,
-    /// Its configured share.
+    /// Configured weight of the team in fair queueing.
     pub share: u32,
-    /// Requests answered whole.
+    /// Requests that received a complete answer.
     pub completed: u64,
-    /// Slot time used.
+    /// Time for which slots were in use, summed over all requests that were sent.
     pub slot_time: Duration,
     /// Requests running.
     pub running: u64,
-    /// Units of its limit allotted here.
+    /// Units of the team's limit allotted to this entry instance.
     pub allowed: u64,
     /// Requests waiting.
     pub waiting: u64,
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that an entry instance may send to, indexed by load.
+//! Upstreams that an entry instance can send requests to, indexed by load.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use crate::core::escrow::{Cell, Holding};
 use crate::core::time::Moment;
 
-/// First pause after a failed exchange.
+/// Suspension of an upstream after one failed exchange; doubles with each further one.
 const SUSPEND_BASE: Duration = Duration::from_millis(250);
-/// Longest pause after repeated failures.
+/// Longest suspension after repeated failures.
 const SUSPEND_CAP: Duration = Duration::from_secs(10);
-/// Scale of the load ratio in the index.
+/// Fixed-point factor of the ratio of slots in use to slots allotted.
 const LOAD_SCALE: u64 = 1_024;
 
-/// What an upstream announced of itself.
+/// Description that an upstream publishes of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
@@ -24,31 +24,31 @@
     pub name: String,
     /// Number that rises with each restart of the upstream.
     pub incarnation: u64,
-    /// Service that it answers for.
+    /// Service that it provides.
     pub service: String,
-    /// Availability zone that it runs in.
+    /// Availability zone in which it runs.
     pub zone: String,
-    /// Address that takes requests.
+    /// Address on which it accepts requests.
     pub address: std::net::SocketAddr,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Number of connections that it accepts concurrently.
     pub connections: u32,
 }
 
-/// One upstream as an entry instance sees it.
+/// State of one upstream at an entry instance.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Its latest announcement.
+    /// Latest announcement.
     pub announcement: Announcement,
     cell: Cell,
-    /// Service it answers for.
+    /// Key of the service that it provides.
     pub service: ServiceKey,
-    /// Zone leader that allots its slots.
+    /// Zone whose leader allots its slots.
     pub source: SourceKey,
-    /// Slots allotted to this entry instance.
+    /// Slots allotted to this entry instance and those in use.
     pub holding: Holding,
-    /// Whether it takes no new requests.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
     /// Whether it is in another availability zone than this entry instance.
     pub remote: bool,
@@ -57,7 +57,7 @@
     indexed: Option<Load>,
 }
 
-/// Order of choice: own zone first, then least loaded, then rotation.
+/// Sort key of candidates: own zone first, then least loaded, then least recently updated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Load {
     remote: bool,
@@ -66,7 +66,7 @@
     key: UpstreamKey,
 }
 
-/// Upstreams of one service with an idle slot.
+/// Upstreams of one service that have an idle slot, in the order of preference.
 #[derive(Debug, Default)]
 pub struct Index {
     idle: BTreeSet<Load>,
@@ -74,7 +74,7 @@
 }
 
 impl Upstream {
-    /// Makes an upstream without allotted slots.
+    /// Returns an upstream without allotted slots.
     pub fn new(
         announcement: Announcement,
         service: ServiceKey,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Returns the cell that its slots are allotted under.
+    /// Returns the identifier under which its slots are allotted.
     pub const fn cell(&self) -> Cell {
         self.cell
     }
 
-    /// Records an exchange that failed: the upstream is avoided for a while.
+    /// Records a failed exchange and suspends the upstream, with exponential backoff.
     pub fn record_failure(&mut self, now: Moment) {
         let pause = SUSPEND_BASE
             .saturating_mul(1 << self.failures.min(8))
@@ -109,19 +109,20 @@
         self.suspended_until = now + pause;
     }
 
-    /// Records an exchange that succeeded.
+    /// Records a successful exchange, which ends a suspension.
     pub const fn record_success(&mut self) {
         self.failures = 0;
         self.suspended_until = Moment::ZERO;
     }
 
-    /// Returns whether it is avoided at `now`.
+    /// Returns whether it is suspended at `now`. It is then chosen only as a last resort.
     pub fn is_suspended(&self, now: Moment) -> bool {
         now < self.suspended_until
     }
 }
 
-/// Returns the cell of the slots of one incarnation of an upstream.
+/// Returns the identifier under which the slots of one incarnation of an upstream are
+/// allotted.
 pub fn cell_of(announcement: &Announcement) -> Cell {
     let name = format!(
         "{}/{}/{}",
@@ -131,7 +132,7 @@
 }
 
 impl Index {
-    /// Brings the index up to date with one upstream.
+    /// Updates the entry of one upstream after a change of its load or state.
     pub fn refresh(&mut self, key: UpstreamKey, upstream: &mut Upstream) {
         if let Some(old) = upstream.indexed.take() {
             self.idle.remove(&old);
@@ -150,14 +151,14 @@
         upstream.indexed = Some(load);
     }
 
-    /// Takes one upstream out of the index.
+    /// Removes the entry of one upstream.
     pub fn drop_entry(&mut self, upstream: &mut Upstream) {
         if let Some(old) = upstream.indexed.take() {
             self.idle.remove(&old);
         }
     }
 
-    /// Returns upstreams with an idle slot in the order of choice.
+    /// Returns the upstreams with an idle slot in the order of preference.
     pub fn candidates(&self) -> impl Iterator<Item = UpstreamKey> {
         self.idle.iter().map(|load| load.key)
     }
