--- a/src/core/allocator/division.rs
+++ b/src/core/allocator/division.rs
@@ -1,4 +1,4 @@
-//! Division of slots and units among entry instances by demand.
+//! Division of slots and units among entry instances by their demands.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::core::share::{Claim, Claimant, divide, round_down, targets};
 use crate::core::time::Moment;
 
-/// What one holder should have and has.
+/// Target and present allotment of one holder.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     holder: InstanceId,
@@ -27,7 +27,8 @@
 }
 
 impl Allocator {
-    /// Divides what is free by demand and recalls what is idle elsewhere.
+    /// Gives free slots and units to holders below their targets and recalls the rest
+    /// from holders above theirs. Without `force`, at most once per interval.
     pub(super) fn divide(&mut self, now: Moment, force: bool) {
         if !self.may_give(now) || (!force && now < self.divide_at) {
             return;
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Divides slots between teams by share, over all holders, and sums up what
-    /// each holder's teams get.
+    /// Divides slots between teams by share, over all holders, and returns the sum that
+    /// each holder gets for its teams.
     fn slot_demands(&self, service: &str, capacity: u64) -> BTreeMap<InstanceId, u64> {
         let mut by_team: BTreeMap<&str, Vec<(InstanceId, u64)>> = BTreeMap::new();
         for (id, holder) in self.open_holders().filter(|(_, h)| !h.leaving) {
@@ -147,7 +148,7 @@
 
     fn give_slots(&mut self, cells: &[Cell], positions: &[Position]) {
         let count = cells.len();
-        // Each holder starts at another upstream, so that holders spread.
+        // Each holder starts at a different upstream, to spread the load.
         for (turn, position) in positions.iter().enumerate() {
             let mut left = position.deficit();
             let mut step = 0;
@@ -155,7 +156,7 @@
                 let cell = cells[(step + turn * count / positions.len().max(1)) % count];
                 step += 1;
                 let host = self.hosts.get_mut(&cell).expect("listed upstream");
-                // Divides evenly over upstreams at first, then takes what is left.
+                // Even parts first; the second pass gives what uneven free slots left.
                 let even = left.div_ceil((count - step + 1) as u64);
                 let given = host.issuer_mut().give(position.holder, even);
                 left -= given;
@@ -202,7 +203,7 @@
                 standing: h.local && !h.leaving,
             })
             .collect();
-        // Tasks take their part themselves; here it is only kept free for them.
+        // Tasks reserve their units themselves; here these are only kept free.
         ids.push(FLEET);
         claims.push(Claim {
             weight: 1,
@@ -267,8 +268,8 @@
         .collect()
 }
 
-/// Chooses how much to recall from holders above their targets so that those
-/// below can be served, and `besides` more.
+/// Returns how many units to recall from holders above their targets, so that together
+/// with `free` they cover the deficits of the others and `besides` more units.
 fn recalls(free: u64, besides: u64, positions: &[Position]) -> Vec<(InstanceId, u64)> {
     let deficit: u64 = positions.iter().map(|p| p.deficit()).sum();
     let mut wanted = deficit.saturating_sub(free) + besides;
--- a/src/core/allocator/expiry.rs
+++ b/src/core/allocator/expiry.rs
@@ -1,4 +1,5 @@
-//! Holders and upstreams that were silent for too long.
+//! Expiry of holders and upstreams that stopped reporting, and reconciliation of the
+//! slots that they used.
 
 use std::collections::BTreeMap;
 
@@ -8,6 +9,8 @@
 use crate::core::time::{Moment, with_clock_margin};
 
 impl Allocator {
+    /// Removes holders whose allotments have expired. Their accounts stay open until the
+    /// run limit has passed, as requests that they sent may still be running.
     pub(super) fn expire_holders(&mut self, now: Moment) {
         let term = with_clock_margin(ALLOTMENT_TERM);
         let expired: Vec<InstanceId> = self
@@ -50,6 +53,7 @@
         }
     }
 
+    /// Stops the use of silent upstreams, and removes those that stay silent.
     pub(super) fn expire_hosts(&mut self, now: Moment) {
         let safe_at = self.safe_at();
         let run_limit = with_clock_margin(self.run_limit);
@@ -82,8 +86,8 @@
         }
     }
 
-    // An upstream's own count of running requests tells what a lost holder left
-    // on it, if it was made after that holder could send anything more.
+    // The upstream's own count of running requests replaces the accounts of lost holders
+    // if it was made after their allotments expired, when they could send no more.
     pub(super) fn settle_lingering(
         &mut self,
         now: Moment,
@@ -108,7 +112,7 @@
         if host.is_clear() || !settled {
             return;
         }
-        // Requests of holders that have not reported since the change of leader.
+        // Requests of holders that have not reported to this leader yet.
         for (&id, &count) in running {
             let known = self.holders.get(&id).is_some_and(|h| h.open);
             if !known && count > 0 {
--- a/src/core/allocator/host.rs
+++ b/src/core/allocator/host.rs
@@ -1,4 +1,4 @@
-//! One upstream as its zone leader sees it.
+//! State of one upstream at its zone leader.
 
 use std::collections::BTreeMap;
 
@@ -13,34 +13,37 @@
 use crate::error::{Error, Kind, Result};
 use crate::wire;
 
-/// Most slots that one upstream may announce.
+/// Largest number of slots that an upstream may announce.
 const SLOTS_MAX: u32 = 4_096;
-/// Most connections that one upstream may announce.
+/// Largest number of connections that an upstream may announce.
 const CONNECTIONS_MAX: u32 = 65_536;
 
-/// One heartbeat of an upstream.
+/// Heartbeat of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Heartbeat {
-    /// What it announces.
+    /// Description of the upstream.
     pub announcement: Announcement,
-    /// Whether it takes nothing new.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// Requests that it runs, by the instance that sent them, if it counts them.
+    /// Numbers of running requests by the entry instance that sent them, if the upstream
+    /// counts them.
     pub running: Option<BTreeMap<InstanceId, u32>>,
-    /// What the latest answer to a heartbeat carried; the counts are younger.
+    /// Timestamp in the latest answer to a heartbeat. The counts were made after it.
     pub seen: Option<Seen>,
 }
 
-/// Mark that a zone leader gives with its answer and that the next heartbeat
-/// repeats, so that the leader knows what that heartbeat is younger than.
+/// Timestamp of a zone leader's answer to a heartbeat.
+///
+/// The next heartbeat repeats it, which gives the leader a lower bound, on its own clock,
+/// for the time at which that heartbeat's counts were made.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[display("{term}-{}", at.0)]
 pub struct Seen {
-    /// Term of the leadership.
+    /// Leadership term.
     pub term: u64,
-    /// Leader's clock when it answered.
+    /// Time of the answer on the leader's clock.
     pub at: Moment,
 }
 
@@ -55,7 +58,7 @@
                 at: Moment(at.parse().ok()?),
             })
         };
-        parse().ok_or_else(|| Error::new(Kind::BadAnnouncement, "`seen` is not a mark"))
+        parse().ok_or_else(|| Error::new(Kind::BadAnnouncement, "`seen` must be TERM-MICROSECONDS"))
     }
 }
 
@@ -71,7 +74,7 @@
 }
 
 impl Host {
-    /// Makes an upstream.
+    /// Returns an upstream whose first heartbeat arrived at `now`.
     pub const fn new(announcement: Announcement, issuer: Issuer<InstanceId>, now: Moment) -> Self {
         Self {
             announcement,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Takes a heartbeat; yields whether holders must be told.
+    /// Records a heartbeat and returns whether holders must be notified of a change.
     pub fn take(&mut self, now: Moment, beat: &Heartbeat) -> bool {
         let limit = beat.announcement.slots.min(beat.announcement.connections);
         let was_leaving = self.is_leaving();
@@ -96,7 +99,7 @@
         changed || was_leaving != self.is_leaving()
     }
 
-    /// Returns its latest announcement.
+    /// Returns the latest announcement.
     pub const fn announcement(&self) -> &Announcement {
         &self.announcement
     }
@@ -106,42 +109,42 @@
         &self.issuer
     }
 
-    /// Returns the accounts of its slots.
+    /// Returns the accounts of its slots for changes.
     pub const fn issuer_mut(&mut self) -> &mut Issuer<InstanceId> {
         &mut self.issuer
     }
 
-    /// Returns when it was last heard.
+    /// Returns the time of the last heartbeat.
     pub const fn heard(&self) -> Moment {
         self.heard
     }
 
-    /// Returns whether it gets nothing new.
+    /// Returns whether it is sent no new requests, as it is leaving or silent.
     pub const fn is_leaving(&self) -> bool {
         self.leaving || self.silent
     }
 
-    /// Gives it nothing new until it is heard again.
+    /// Stops new requests to it until the next heartbeat.
     pub const fn leave(&mut self) {
         self.silent = true;
     }
 
-    /// Returns whether slots used under earlier leaders are all accounted for.
+    /// Returns whether all slots in use under earlier leaders are accounted for.
     pub const fn is_clear(&self) -> bool {
         self.clear
     }
 
-    /// Records that slots used under earlier leaders are all accounted for.
+    /// Records that all slots in use under earlier leaders are accounted for.
     pub const fn clear(&mut self) {
         self.clear = true;
     }
 
-    /// Returns whether its free slots may be given.
+    /// Returns whether its free slots may be given to holders.
     pub const fn is_usable(&self) -> bool {
         self.clear && !self.is_leaving()
     }
 
-    /// Returns what entry instances need to know.
+    /// Returns the description sent to entry instances.
     pub fn info(&self) -> wire::UpstreamInfo {
         let a = &self.announcement;
         wire::UpstreamInfo {
@@ -157,15 +160,15 @@
     }
 }
 
-/// Checks that an announcement is credible.
+/// Validates an announcement.
 ///
 /// # Errors
 ///
-/// Fails with [`Kind::BadAnnouncement`] and says what is wrong.
+/// Fails with [`Kind::BadAnnouncement`] if a name, a count or the address is invalid.
 pub fn check(a: &Announcement) -> Result<()> {
     let bad = |message: String| Err(Error::new(Kind::BadAnnouncement, message));
     if !is_name(&a.name) || !is_name(&a.service) || !is_name(&a.zone) {
-        return bad("name, service and zone need letters, digits, `-`, `_` or `.`".into());
+        return bad("name, service and zone may have letters, digits, `-`, `_` and `.`".into());
     }
     if a.slots == 0 || a.slots > SLOTS_MAX {
         return bad(format!("slots must be from 1 to {SLOTS_MAX}"));
--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -1,5 +1,5 @@
-//! Duties of a zone leader: which entry instance may use how many slots of each
-//! upstream and how many units of each team's limit.
+//! Allocation of capacity by a zone leader: how many slots of each upstream and how
+//! many units of each team's limit each entry instance may use.
 
 mod division;
 mod expiry;
@@ -21,15 +21,16 @@
 use crate::util::cell_named;
 use crate::wire;
 
-/// Term of an allotment on the holder's clock.
+/// Time for which an entry instance may use an allotment, on its own clock.
 pub const ALLOTMENT_TERM: Duration = Duration::from_millis(1_000);
-/// Interval between divisions of the capacity.
+/// Shortest interval between divisions of the capacity on reports; a tick always divides.
 const DIVIDE_EVERY: Duration = Duration::from_millis(50);
-/// An upstream that was silent for this long gets nothing new.
+/// Time without a heartbeat after which an upstream is sent no new requests.
 pub const SILENT_AFTER: Duration = Duration::from_millis(2_500);
-/// A silent upstream is forgotten after this long, once nothing can run on it.
+/// Time without a heartbeat after which an upstream is removed, once no holder has any
+/// of its slots.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Holder that stands for the zone's own task placement.
+/// Holder of the units that tasks placed in the zone use.
 pub const FLEET: InstanceId = InstanceId(0);
 
 /// Units of one team's limit in this zone.
@@ -42,7 +43,7 @@
     tasks: u64,
 }
 
-/// What the zone leader knows of one entry instance.
+/// State of one entry instance that holds slots and units.
 #[derive(Debug)]
 struct Holder {
     epoch: u64,
@@ -63,8 +64,8 @@
 }
 
 impl Holder {
-    /// Returns the requests that use units of this zone. An instance of another zone
-    /// asks for slots here at times; the units for them are those of its own zone.
+    /// Returns the demands for units of this zone. Entry instances of other zones may
+    /// borrow slots here, but use units of their own zone for them.
     fn unit_demands(&self) -> &[wire::Demand] {
         if self.local && !self.leaving {
             &self.demands
@@ -74,14 +75,14 @@
     }
 }
 
-/// An account of a holder that is gone, until its work has surely ended.
+/// A lost holder whose accounts stay open until its requests have certainly ended.
 #[derive(Clone, Copy, Debug)]
 struct Linger {
     expired_at: Moment,
     until: Moment,
 }
 
-/// State of a zone leader for one term of leadership.
+/// Allocation state of a zone leader, kept while it leads.
 #[derive(Debug)]
 pub struct Allocator {
     zone: String,
@@ -101,8 +102,9 @@
 }
 
 impl Allocator {
-    /// Starts at `now`. In the first term of a zone there is no predecessor
-    /// whose allotments could still be in use.
+    /// Returns the state of a leader elected at `now`. `first` marks the first term of a
+    /// zone, which has no earlier leader whose allotments could still be in use.
+    /// `run_limit` is the longest time that work continues after its holder was lost.
     pub const fn new(
         zone: String,
         term: u64,
@@ -128,17 +130,17 @@
         }
     }
 
-    /// Returns the term.
+    /// Returns the leadership term.
     pub const fn term(&self) -> u64 {
         self.term
     }
 
-    /// Takes the term of a new roster under the same leader; accounts stay open.
+    /// Sets the term after a change of voters under the same leader. Accounts stay open.
     pub const fn set_term(&mut self, term: u64) {
         self.term = term;
     }
 
-    /// Sets the longest time that work goes on after its holder was lost.
+    /// Sets the longest time that work continues after its holder was lost.
     pub const fn set_run_limit(&mut self, run_limit: Duration) {
         self.run_limit = run_limit;
     }
@@ -148,8 +150,8 @@
         self.hosts.values()
     }
 
-    /// Sets a team's share, and the units of its limit that the zone holds as the
-    /// registry's account shows them.
+    /// Sets a team's share, and the units of its limit that the zone holds, by the
+    /// counters of the zone's account in the registry.
     pub fn set_units(&mut self, team: &str, share: u32, given: u64, returned: u64) {
         let units = self.units.entry(team.to_owned()).or_insert_with(|| Units {
             issuer: Issuer::new(0),
@@ -166,14 +168,15 @@
         self.unit_names.insert(cell_named(team), team.to_owned());
     }
 
-    // Units that unknown holders may still use must not be given to anyone.
+    // Holders unknown to this leader may use units given by earlier ones until their
+    // allotments have expired and their requests and tasks have ended. Until then no
+    // units are given.
     fn units_clear(&self, now: Moment) -> bool {
         let longest = self.run_limit.max(WORKER_LEASE);
         self.first || now >= self.safe_at() + with_clock_margin(longest)
     }
 
-    /// Returns for each team its name, the units that it could use here now and
-    /// the returned counter.
+    /// Returns the unit demand of each team.
     pub fn unit_demands(&self) -> Vec<UnitDemand> {
         let mut requests: BTreeMap<&str, u64> = BTreeMap::new();
         for demand in self.holders.values().flat_map(Holder::unit_demands) {
@@ -190,14 +193,15 @@
             .collect()
     }
 
-    /// Sets how many units each team could use for tasks.
+    /// Sets how many units each team could use for tasks now. Teams that are not listed
+    /// could use none.
     pub fn set_task_demands(&mut self, demands: &BTreeMap<String, u64>) {
         for (team, units) in &mut self.units {
             units.tasks = demands.get(team).copied().unwrap_or(0);
         }
     }
 
-    /// Takes up to `units` of a team's limit for tasks.
+    /// Reserves up to `units` of a team's limit for tasks and returns how many.
     pub fn take_units(&mut self, now: Moment, team: &str, units: u64) -> u64 {
         if !self.units_clear(now) {
             return 0;
@@ -207,7 +211,7 @@
             .map_or(0, |u| u.issuer.give(FLEET, units))
     }
 
-    /// Returns units of a team's limit that tasks no longer use.
+    /// Releases units of a team's limit that tasks no longer use.
     pub fn put_units(&mut self, team: &str, units: u64) {
         if let Some(u) = self.units.get_mut(team) {
             let account = u.issuer.account(FLEET);
@@ -215,7 +219,7 @@
         }
     }
 
-    /// Records units used by tasks that were found running.
+    /// Reserves units for tasks that were found running, even above the zone's units.
     pub fn adopt_units(&mut self, team: &str, units: u64) {
         if let Some(u) = self.units.get_mut(team) {
             let held = u.issuer.account(FLEET).balance();
@@ -223,15 +227,17 @@
         }
     }
 
-    /// Takes an upstream's heartbeat.
+    /// Records an upstream's heartbeat. Returns an event if the upstream is new or has
+    /// begun to leave.
     ///
     /// # Errors
     ///
-    /// Fails with [`Kind::BadAnnouncement`] if it is not credible.
+    /// Fails with [`Kind::BadAnnouncement`] if the announcement is invalid, is for another
+    /// zone, or conflicts with a newer incarnation or another live upstream of its name.
     pub fn announce(&mut self, now: Moment, beat: &Heartbeat) -> Result<Option<Event>> {
         host::check(&beat.announcement)?;
         if beat.announcement.zone != self.zone {
-            let message = format!("this is zone {}", self.zone);
+            let message = format!("this leader serves zone {}", self.zone);
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         let cell = cell_of(&beat.announcement);
@@ -251,7 +257,7 @@
             Host::new(beat.announcement.clone(), issuer, now)
         });
         if host.announcement().address != beat.announcement.address {
-            let message = "another address uses this name and incarnation";
+            let message = "this name and incarnation are announced from another address";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         let changed = host.take(now, beat);
@@ -271,8 +277,8 @@
         Ok(event)
     }
 
-    /// Sets how many units of a team the zone should return to the pool of the root
-    /// group. Holders are asked for what is not free.
+    /// Sets how many units of a team the zone must return to the pool of the root group,
+    /// and returns the free ones. The rest is recalled from holders.
     pub fn recall(&mut self, now: Moment, team: &str, units: u64) {
         if let Some(state) = self.units.get_mut(team) {
             state.owed = units.min(state.issuer.capacity());
@@ -280,7 +286,7 @@
         self.return_owed(now);
     }
 
-    /// Returns free units that the pool has recalled.
+    /// Returns free units to the pool of the root group, up to what it has recalled.
     pub fn return_owed(&mut self, now: Moment) {
         if !self.units_clear(now) {
             return;
@@ -293,13 +299,14 @@
         }
     }
 
+    /// Retires the previous incarnation of an upstream that was restarted.
     fn supersede(&mut self, now: Moment, old: Cell, new: &Announcement) -> Result<()> {
         let Some(host) = self.hosts.get_mut(&old) else {
             return Ok(());
         };
         let known = host.announcement();
         if new.incarnation < known.incarnation {
-            let message = format!("incarnation {} is known", known.incarnation);
+            let message = format!("newer incarnation {} is known", known.incarnation);
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         let alive = !host.is_leaving() && now.since(host.heard()) < SILENT_AFTER;
@@ -312,7 +319,8 @@
         Ok(())
     }
 
-    /// Lets time pass; yields allotments that should not wait for the next report.
+    /// Expires silent holders and upstreams, divides the capacity, and returns the
+    /// allotments to be sent before the next report of their holders.
     pub fn tick(&mut self, now: Moment) -> Vec<(InstanceId, wire::Allotment)> {
         self.expire_holders(now);
         self.expire_hosts(now);
@@ -329,7 +337,8 @@
             .collect()
     }
 
-    /// Returns whether capacity of predecessors has surely expired.
+    /// Returns whether all allotments of earlier leaders have expired, with a margin for
+    /// clock drift.
     pub fn may_give(&self, now: Moment) -> bool {
         self.first || now >= self.safe_at()
     }
@@ -346,16 +355,16 @@
     }
 }
 
-/// Units of one team that a zone could use.
+/// Demand of one zone for units of one team's limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnitDemand {
-    /// Team.
+    /// Team name.
     pub team: String,
-    /// Units that it could use now.
+    /// Units that the team's requests and tasks in the zone could use now.
     pub demand: u64,
     /// Units that the zone holds.
     pub capacity: u64,
-    /// Units returned in all.
+    /// Total of units that the zone has returned to the pool of the root group.
     pub returned: u64,
 }
 
--- a/src/core/allocator/reports.rs
+++ b/src/core/allocator/reports.rs
@@ -1,4 +1,4 @@
-//! Accounts of entry instances: reports in, allotments out.
+//! Reports of entry instances and the allotments that answer them.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,11 @@
 use crate::wire;
 
 impl Allocator {
-    /// Takes an entry instance's report and returns the allotment that answers it.
+    /// Processes the report of an entry instance and returns the allotment in answer.
+    ///
+    /// A report of another epoch, an opening of idle units that have expired, or a report
+    /// without an opening while the accounts are closed is answered with a request to
+    /// reopen them.
     pub fn report(
         &mut self,
         now: Moment,
@@ -26,15 +30,15 @@
         let open = self.holders[&from].open;
         if report.epoch != epoch || (report.opening == open) {
             if report.epoch == epoch && open {
-                // A repeated opening: the first one counted.
+                // A repeated opening; the accounts were opened by the first one.
                 return self.allot(now, from, report);
             }
             return self.ask_to_reopen(now, from, report);
         }
         if report.opening {
             if report.kept_idle && now >= self.safe_at() {
-                // Idle units of an earlier leader have expired and may have been
-                // given to others since.
+                // Idle units given by an earlier leader have expired and may have been
+                // given to other holders since.
                 let holder = self.new_holder(now, local);
                 self.holders.insert(from, holder);
                 return self.ask_to_reopen(now, from, report);
@@ -46,6 +50,7 @@
         self.allot(now, from, report)
     }
 
+    /// Returns a holder with closed accounts and a new epoch.
     pub(super) fn new_holder(&mut self, now: Moment, local: bool) -> Holder {
         self.sessions += 1;
         Holder {
@@ -67,6 +72,7 @@
         }
     }
 
+    /// Returns an allotment that asks the holder to reopen its accounts.
     pub(super) fn ask_to_reopen(
         &mut self,
         now: Moment,
@@ -85,13 +91,14 @@
         }
     }
 
+    /// Opens the accounts of a holder with the balances that it reports.
     pub(super) fn open_accounts(&mut self, now: Moment, from: InstanceId, report: &wire::Report) {
-        // Counters of an earlier epoch mean nothing in this one.
+        // Counters of an earlier epoch are not comparable with those of this one.
         self.close_accounts(from);
         for balance in &report.slots {
             let cell = Cell(balance.cell);
-            // An upstream that has not announced itself to this leader yet takes
-            // over the accounts kept here when it does.
+            // Accounts of an upstream that has not announced itself to this leader yet
+            // are kept aside until it does.
             let issuer = match self.hosts.get_mut(&cell) {
                 Some(host) => host.issuer_mut(),
                 None => self.retired.entry(cell).or_insert_with(|| Issuer::new(0)),
@@ -112,6 +119,7 @@
         holder.dirty_hosts = self.hosts.keys().map(|&cell| (cell, next)).collect();
     }
 
+    /// Records the counters, demands and acknowledgement of a report.
     pub(super) fn settle(&mut self, now: Moment, from: InstanceId, report: &wire::Report) {
         for balance in &report.slots {
             let cell = Cell(balance.cell);
@@ -142,7 +150,7 @@
         holder.dirty_hosts.retain(|_, first| *first > received);
     }
 
-    /// Builds the allotment for `to` that answers `report`.
+    /// Returns the allotment for `to` that answers `report`.
     pub(super) fn allot(
         &mut self,
         now: Moment,
@@ -155,6 +163,7 @@
         self.build_allotment(to, report.number)
     }
 
+    /// Returns an allotment of all changes that the holder has not acknowledged yet.
     pub(super) fn build_allotment(&mut self, to: InstanceId, answers: u64) -> wire::Allotment {
         let holder = self.holders.get_mut(&to).expect("known holder");
         holder.number += 1;
