--- a/tests/allocator.rs
+++ b/tests/allocator.rs
@@ -1,4 +1,4 @@
-//! What a zone leader tells of its demand and gives for it.
+//! Unit demands that a zone leader reports, and the units that it gives to holders.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const NEAR: InstanceId = InstanceId(1);
 const FAR: InstanceId = InstanceId(2);
 
-/// A leader of zone a that holds four units of one team's limit.
+/// Returns the allocator of zone a, which holds four units of one team's limit.
 fn leader() -> Allocator {
     let run_limit = Duration::from_secs(30);
     let mut allocator = Allocator::new("a".into(), 1, true, Moment::ZERO, run_limit);
@@ -18,7 +18,7 @@
     allocator
 }
 
-/// Lets an instance open its accounts and report what waits for the team.
+/// Opens the accounts of an entry instance and reports its waiting requests.
 fn report(allocator: &mut Allocator, from: InstanceId, zone: &str, waiting: u64, leaving: bool) {
     let opening = Report {
         from_zone: zone.into(),
@@ -62,8 +62,8 @@
 
 demands! {
     instances_of_the_zone_demand_its_units: [(NEAR, "a", 6, false)] => 6;
-    // The other zone's leader hears of the same requests. Counted in both, they would
-    // hold units where nobody can use them.
+    // The leader of the other zone gets the same demand reported. If both zones counted
+    // it, this one would hold units that no entry instance could use.
     borrowers_of_slots_demand_no_units_here: [(NEAR, "a", 6, false), (FAR, "b", 24, false)] => 6;
     leaving_instances_demand_nothing: [(NEAR, "a", 6, true)] => 0;
 }
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -1,4 +1,5 @@
-//! Admission: order, fairness, deadlines, worth.
+//! Admission by the gate (order, fairness, deadlines, worth), retries, and the claim
+//! table that keeps a request from running twice.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const START: Moment = Moment::from_millis(1_000_000);
-/// Depth of a team that sends one request every ten milliseconds.
+/// Queue depth that stands for a team sending one request every ten milliseconds.
 const ONE_IN_TEN_MS: usize = usize::MAX;
 const MS: Duration = Duration::from_millis(1);
 
@@ -80,8 +81,8 @@
         self.gate.submit(now, request)
     }
 
-    /// Lets every team keep `depth` requests waiting for `steps` of 1 ms, with
-    /// `service` per request; yields completed requests by team.
+    /// Keeps `depth` requests of each team waiting for `steps` of 1 ms, with a service
+    /// time of `service`, and returns the completed requests by team.
     fn saturate(&mut self, depth: &[usize], service: Duration, steps: u32) -> Vec<u64> {
         let mut running: Vec<(Moment, Assignment, usize)> = Vec::new();
         let mut waiting: BTreeMap<Ticket, usize> = BTreeMap::new();
@@ -145,7 +146,7 @@
 
     fn two_floods_leave_a_small_team_its_demand() {
         let mut bench = Bench::new(&[1, 1, 1], 2, 8);
-        // 16 slots of 20 ms end 800 requests a second; the small team sends 100.
+        // 16 slots of 20 ms serve 800 requests per second; the small team sends 100.
         let done = bench.saturate(&[500, 500, ONE_IN_TEN_MS], MS * 20, 4_000);
         let total: u64 = done.iter().sum();
         assert!(near(done[2], 400.0), "{done:?}");
@@ -188,7 +189,7 @@
         let mut waiting: BTreeMap<Ticket, (Moment, u64)> = BTreeMap::new();
         let mut offered = Vec::new();
         let mut gained = 0;
-        // 8 slots of 40 ms serve 200 a second; 400 come.
+        // 8 slots of 40 ms serve 200 requests per second; 400 per second are sent.
         for step in 0..20_000u32 {
             let now = START + MS * step;
             let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| r.0 <= now);
@@ -216,7 +217,7 @@
                 running.push((now + service, deadline, assignment, worth));
             }
         }
-        // An upper bound: the most worthy half of all that came.
+        // Upper bound: the half of all requests with the highest worth.
         offered.sort_unstable_by(|a, b| b.cmp(a));
         let best: u64 = offered.iter().take(200 * 20).sum();
         assert!(gained * 100 >= best * 90, "{gained} of {best}");
@@ -234,7 +235,8 @@
         let mut bench = Bench::new(&[1], 1, 4);
         let mut gate = Gate::new();
         std::mem::swap(&mut gate, &mut bench.gate);
-        // The bench renews for ever; a new source with a short term does not.
+        // The harness never lets its source expire, so a second one with a lease of 1 ms
+        // allots the team's units.
         let source = SourceKey(1);
         gate.set_team_source(source);
         gate.renew(source, START + MS);
@@ -248,7 +250,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(9);
         let (mut retries, mut successes) = (0u32, 0u32);
         for _ in 0..10_000 {
-            // Nine of ten first tries fail, and so do their retries.
+            // Nine of ten first attempts fail, and so do their retries.
             if rng.random_ratio(1, 10) {
                 budget.earn();
                 successes += 1;
