--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -21,8 +21,8 @@
             return;
         }
         self.expiries[at] = until;
-        for key in self.keys_of(source) {
-            self.refresh(key);
+        for key in self.upstreams_of(source) {
+            self.refresh_index(key);
         }
     }
 
@@ -70,7 +70,7 @@
             if let Some(upstream) = self.upstreams.get_mut(&key) {
                 upstream.leaving = leaving;
             }
-            self.refresh(key);
+            self.refresh_index(key);
         }
     }
 
@@ -88,7 +88,7 @@
         for key in idle {
             let mut upstream = self.upstreams.remove(&key).expect("known key");
             let service = &mut self.services[upstream.service.0 as usize];
-            service.index.drop_entry(&mut upstream);
+            service.index.remove(&mut upstream);
             self.cells.remove(&upstream.cell());
             self.retired.insert(
                 upstream.cell(),
@@ -118,10 +118,10 @@
         }
         // Balances may arrive before the configuration that adds their team.
         for balance in balances {
-            self.early_units.insert(Cell(balance.cell), balance.given);
+            self.pending_units.insert(Cell(balance.cell), balance.given);
         }
         let known: BTreeSet<Cell> = self.teams.iter().map(|t| t.cell).collect();
-        self.early_units.retain(|cell, _| !known.contains(cell));
+        self.pending_units.retain(|cell, _| !known.contains(cell));
     }
 
     /// Reopens all slot accounts of `source` and returns the opening balances. Idle
@@ -131,7 +131,7 @@
         let keep = now < self.expiry(source);
         self.retired.retain(|_, (of, _)| *of != source);
         let mut opening = Vec::new();
-        for key in self.keys_of(source) {
+        for key in self.upstreams_of(source) {
             self.change_holding(key, |h| *h = reopened(*h, keep));
             let upstream = &self.upstreams[&key];
             if upstream.holding.allowed() > 0 {
@@ -144,7 +144,7 @@
     /// Reopens all team unit accounts by the rules of [`Gate::reopen_slots`].
     pub fn reopen_units(&mut self, now: Moment) -> Vec<(Cell, u64)> {
         let keep = now < self.expiry(self.team_source);
-        self.early_units.clear();
+        self.pending_units.clear();
         let mut opening = Vec::new();
         for team in &mut self.teams {
             team.holding = reopened(team.holding, keep);
@@ -155,7 +155,7 @@
         opening
     }
 
-    pub(super) fn keys_of(&self, source: SourceKey) -> Vec<UpstreamKey> {
+    pub(super) fn upstreams_of(&self, source: SourceKey) -> Vec<UpstreamKey> {
         self.upstreams
             .iter()
             .filter(|(_, u)| u.source == source)
@@ -186,15 +186,15 @@
     /// Returns all idle slots to the leader of `source`. The result is whether any slots were held
     /// before.
     pub fn return_source(&mut self, source: SourceKey) -> bool {
-        let mut unsettled = false;
-        for key in self.keys_of(source) {
+        let mut held = false;
+        for key in self.upstreams_of(source) {
             let before = self.upstreams[&key].holding.allowed();
             self.change_holding(key, |h| {
                 h.give_back(u64::MAX);
             });
-            unsettled |= before > 0;
+            held |= before > 0;
         }
-        unsettled
+        held
     }
 
     /// Returns all idle slots of one upstream.
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -63,7 +63,7 @@
     /// Accounts of removed upstreams.
     retired: HashMap<Cell, (SourceKey, Account)>,
     /// Units given to teams that have not been added yet.
-    early_units: HashMap<Cell, u64>,
+    pending_units: HashMap<Cell, u64>,
     next_upstream: u32,
     expiries: Vec<Moment>,
     team_source: SourceKey,
@@ -86,7 +86,7 @@
         let key = TeamKey(u32::try_from(self.teams.len()).expect("fewer than 2^32 teams"));
         let cell = crate::util::cell_named(name);
         let mut holding = Holding::default();
-        if let Some(given) = self.early_units.remove(&cell) {
+        if let Some(given) = self.pending_units.remove(&cell) {
             holding.receive(given);
         }
         self.teams.push(Team {
@@ -218,7 +218,7 @@
                 waiting: self
                     .services
                     .iter()
-                    .map(|s| s.queue.len_of(TeamKey(i)) as u64)
+                    .map(|s| s.queue.team_len(TeamKey(i)) as u64)
                     .sum(),
             })
             .collect()
@@ -238,7 +238,7 @@
             return refuse(Kind::DeadlineUnmeetable, Duration::ZERO);
         }
         let service = &mut self.services[request.service.0 as usize];
-        service.queue.open_line(request.team);
+        service.queue.ensure_team(request.team);
         if service.queue.is_empty()
             && let Some(assignment) = self.assign(now, request.service, request.team, None)
         {
@@ -308,9 +308,9 @@
     /// The team was charged the estimated service time at the start. An answered
     /// exchange is charged what it took beyond the present estimate, a failed one its
     /// whole time in addition, and an unsent one nothing more.
-    pub fn finish(&mut self, now: Moment, done: Assignment, exchange: Exchange) {
-        let took = now.since(done.at);
-        let team = &mut self.teams[done.team.0 as usize];
+    pub fn finish(&mut self, now: Moment, assignment: Assignment, exchange: Exchange) {
+        let took = now.since(assignment.at);
+        let team = &mut self.teams[assignment.team.0 as usize];
         team.holding.put();
         let share = team.share;
         if exchange != Exchange::Unsent {
@@ -319,9 +319,9 @@
         if exchange == Exchange::Answered {
             team.completed += 1;
         }
-        self.settle_upstream(now, done.upstream, exchange);
-        let service = &mut self.services[done.service.0 as usize];
-        if let Some(running) = service.running.get_mut(&done.team) {
+        self.settle_upstream(now, assignment.upstream, exchange);
+        let service = &mut self.services[assignment.service.0 as usize];
+        if let Some(running) = service.running.get_mut(&assignment.team) {
             *running = running.saturating_sub(1);
         }
         service.running.retain(|_, running| *running > 0);
@@ -329,10 +329,10 @@
         match exchange {
             Exchange::Answered => {
                 let expected = queue.estimate(now);
-                queue.charge(done.team, took.saturating_sub(expected), share);
+                queue.charge(assignment.team, took.saturating_sub(expected), share);
                 queue.sample(now, took);
             }
-            Exchange::Failed => queue.charge(done.team, took, share),
+            Exchange::Failed => queue.charge(assignment.team, took, share),
             Exchange::Unsent => {}
         }
     }
@@ -347,7 +347,7 @@
             Exchange::Failed => upstream.record_failure(now),
             Exchange::Unsent => {}
         }
-        self.refresh(key);
+        self.refresh_index(key);
     }
 
     /// Suspends an upstream before the exchange with it has ended.
@@ -368,16 +368,16 @@
         if now >= self.expiry(self.team_source) || self.teams[team.0 as usize].holding.idle() == 0 {
             return None;
         }
-        let upstream = self.choose(now, service, avoid)?;
+        let upstream = self.choose_upstream(now, service, avoid)?;
         let share = self.teams[team.0 as usize].share;
         self.teams[team.0 as usize].holding.take();
         self.change_holding(upstream, |h| {
             h.take();
         });
-        let service_state = &mut self.services[service.0 as usize];
-        let expected = service_state.queue.estimate(now);
-        service_state.queue.charge(team, expected, share);
-        *service_state.running.entry(team).or_default() += 1;
+        let state = &mut self.services[service.0 as usize];
+        let expected = state.queue.estimate(now);
+        state.queue.charge(team, expected, share);
+        *state.running.entry(team).or_default() += 1;
         Some(Assignment {
             upstream,
             team,
@@ -388,19 +388,19 @@
 
     /// Chooses an upstream with an idle slot, other than `avoid`. A suspended one is
     /// chosen only if there is no other.
-    fn choose(
+    fn choose_upstream(
         &mut self,
         now: Moment,
         service: ServiceKey,
         avoid: Option<UpstreamKey>,
     ) -> Option<UpstreamKey> {
-        let mut dark = Vec::new();
+        let mut expired = Vec::new();
         let mut fallback = None;
         let mut chosen = None;
         for key in self.services[service.0 as usize].index.candidates() {
             let upstream = &self.upstreams[&key];
             if now >= self.expiry(upstream.source) {
-                dark.push(key);
+                expired.push(key);
                 continue;
             }
             if Some(key) == avoid {
@@ -415,9 +415,9 @@
         }
         // Upstreams with an expired allotment are added to the index again when it is
         // renewed.
-        for key in dark {
+        for key in expired {
             let upstream = self.upstreams.get_mut(&key).expect("indexed upstream");
-            self.services[service.0 as usize].index.drop_entry(upstream);
+            self.services[service.0 as usize].index.remove(upstream);
         }
         chosen.or(fallback)
     }
@@ -449,7 +449,7 @@
     fn enqueue(&mut self, now: Moment, request: Request) -> Admission {
         let service = &mut self.services[request.service.0 as usize];
         let mut displaced = None;
-        if service.queue.len_of(request.team) >= service.queue_limit {
+        if service.queue.team_len(request.team) >= service.queue_limit {
             displaced = service.queue.displace(&request);
             if displaced.is_none() {
                 let wait = service.queue.estimate(now) * 2;
@@ -472,7 +472,7 @@
         service.index.refresh(key, upstream);
     }
 
-    pub(super) fn refresh(&mut self, key: UpstreamKey) {
+    pub(super) fn refresh_index(&mut self, key: UpstreamKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             let service = &mut self.services[upstream.service.0 as usize];
             service.index.refresh(key, upstream);
--- a/src/core/gate/queue.rs
+++ b/src/core/gate/queue.rs
@@ -9,9 +9,9 @@
 
 /// Fixed-point factor of virtual time: one microsecond of slot time advances a team of
 /// share 1 by this much.
-const VIRTUAL_SCALE: u64 = 1_000;
+const VIRTUAL_TIME_SCALE: u64 = 1_000;
 /// Service time estimate before the first sample.
-const UNMEASURED: Duration = Duration::ZERO;
+const NO_ESTIMATE: Duration = Duration::ZERO;
 /// Time without a sample after which the service time estimate halves.
 const ESTIMATE_HALF_LIFE: Duration = Duration::from_secs(1);
 
@@ -35,7 +35,7 @@
 
 /// Waiting requests of one team and the virtual time up to which it has been charged.
 #[derive(Debug, Default)]
-struct Line {
+struct TeamQueue {
     waiting: BTreeMap<Rank, Request>,
     virtual_time: u64,
 }
@@ -43,13 +43,13 @@
 /// Waiting requests of all teams for one service, and its service time estimate.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lines: BTreeMap<TeamKey, Line>,
+    teams: BTreeMap<TeamKey, TeamQueue>,
     active: BTreeSet<(u64, TeamKey)>,
     deadlines: BTreeMap<(Moment, Ticket), Rank>,
     ranks: BTreeMap<Ticket, (TeamKey, Rank)>,
-    clock: u64,
+    virtual_time: u64,
     estimate: Duration,
-    sampled: Moment,
+    sampled_at: Moment,
 }
 
 impl Queue {
@@ -64,21 +64,21 @@
     }
 
     /// Returns the number of waiting requests of `team`.
-    pub fn len_of(&self, team: TeamKey) -> usize {
-        self.lines.get(&team).map_or(0, |line| line.waiting.len())
+    pub fn team_len(&self, team: TeamKey) -> usize {
+        self.teams.get(&team).map_or(0, |queue| queue.waiting.len())
     }
 
     /// Returns the teams with waiting requests and how many each has.
     pub fn demands(&self) -> impl Iterator<Item = (TeamKey, usize)> {
         self.active
             .iter()
-            .map(|&(_, team)| (team, self.len_of(team)))
+            .map(|&(_, team)| (team, self.team_len(team)))
     }
 
     /// Returns the expected service time of one request. It halves with each half-life
     /// without a sample, so that an outdated estimate does not refuse requests for long.
     pub fn estimate(&self, now: Moment) -> Duration {
-        let halvings = now.since(self.sampled).as_secs() / ESTIMATE_HALF_LIFE.as_secs();
+        let halvings = now.since(self.sampled_at).as_secs() / ESTIMATE_HALF_LIFE.as_secs();
         let shift = u32::try_from(halvings).unwrap_or(u32::MAX).min(31);
         self.estimate / (1 << shift)
     }
@@ -86,32 +86,32 @@
     /// Adds one measured service time to the estimate, a moving average of weight 1/8.
     pub fn sample(&mut self, now: Moment, took: Duration) {
         let old = self.estimate(now);
-        self.estimate = if old == UNMEASURED {
+        self.estimate = if old == NO_ESTIMATE {
             took
         } else {
             (old * 7 + took) / 8
         };
-        self.sampled = now;
+        self.sampled_at = now;
     }
 
     /// Returns how many waiting requests of the same team rank before `request`.
     pub fn ahead_of(&self, request: &Request) -> usize {
         let rank = Rank::of(Ticket::MAX, request);
-        self.lines
+        self.teams
             .get(&request.team)
-            .map_or(0, |line| line.waiting.range(..rank).count())
+            .map_or(0, |queue| queue.waiting.range(..rank).count())
     }
 
     /// Adds a request. A team without waiting requests joins no earlier than the
     /// queue's virtual time, so that it earns no credit while idle.
     pub fn push(&mut self, ticket: Ticket, request: Request) {
         let rank = Rank::of(ticket, &request);
-        let line = self.lines.entry(request.team).or_default();
-        if line.waiting.is_empty() {
-            line.virtual_time = line.virtual_time.max(self.clock);
-            self.active.insert((line.virtual_time, request.team));
+        let queue = self.teams.entry(request.team).or_default();
+        if queue.waiting.is_empty() {
+            queue.virtual_time = queue.virtual_time.max(self.virtual_time);
+            self.active.insert((queue.virtual_time, request.team));
         }
-        line.waiting.insert(rank, request);
+        queue.waiting.insert(rank, request);
         self.deadlines.insert((request.deadline, ticket), rank);
         self.ranks.insert(ticket, (request.team, rank));
     }
@@ -119,11 +119,11 @@
     /// Removes a waiting request and returns it, or `None` if it is not waiting.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Request> {
         let (team, rank) = self.ranks.remove(&ticket)?;
-        let line = self.lines.get_mut(&team)?;
-        let request = line.waiting.remove(&rank)?;
+        let queue = self.teams.get_mut(&team)?;
+        let request = queue.waiting.remove(&rank)?;
         self.deadlines.remove(&(request.deadline, ticket));
-        if line.waiting.is_empty() {
-            self.active.remove(&(line.virtual_time, team));
+        if queue.waiting.is_empty() {
+            self.active.remove(&(queue.virtual_time, team));
         }
         Some(request)
     }
@@ -132,7 +132,7 @@
     /// and returns its ticket.
     pub fn displace(&mut self, request: &Request) -> Option<Ticket> {
         let rank = Rank::of(Ticket::MAX, request);
-        let (&last, _) = self.lines.get(&request.team)?.waiting.last_key_value()?;
+        let (&last, _) = self.teams.get(&request.team)?.waiting.last_key_value()?;
         if rank >= last {
             return None;
         }
@@ -144,34 +144,34 @@
     /// which `may_run` holds.
     pub fn peek(&self, mut may_run: impl FnMut(TeamKey) -> bool) -> Option<(Ticket, Request)> {
         let &(_, team) = self.active.iter().find(|&&(_, team)| may_run(team))?;
-        let (rank, request) = self.lines.get(&team)?.waiting.first_key_value()?;
+        let (rank, request) = self.teams.get(&team)?.waiting.first_key_value()?;
         Some((rank.ticket, *request))
     }
 
     /// Advances the virtual time of `team` by `took` of slot time divided by its share.
     pub fn charge(&mut self, team: TeamKey, took: Duration, share: u32) {
-        let Some(line) = self.lines.get_mut(&team) else {
+        let Some(queue) = self.teams.get_mut(&team) else {
             return;
         };
         let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        let cost = micros.max(1).saturating_mul(VIRTUAL_SCALE) / u64::from(share.max(1));
-        let was_active = self.active.remove(&(line.virtual_time, team));
-        line.virtual_time = line.virtual_time.saturating_add(cost.max(1));
+        let cost = micros.max(1).saturating_mul(VIRTUAL_TIME_SCALE) / u64::from(share.max(1));
+        let was_active = self.active.remove(&(queue.virtual_time, team));
+        queue.virtual_time = queue.virtual_time.saturating_add(cost.max(1));
         if was_active {
-            self.active.insert((line.virtual_time, team));
+            self.active.insert((queue.virtual_time, team));
         } else if self.active.is_empty() {
-            self.clock = self.clock.max(line.virtual_time);
+            self.virtual_time = self.virtual_time.max(queue.virtual_time);
         }
-        self.advance();
+        self.advance_virtual_time();
     }
 
     /// Adds `team` if it is missing, so that it can be charged. Without waiting requests
     /// it starts no earlier than the queue's virtual time.
-    pub fn open_line(&mut self, team: TeamKey) {
-        let clock = self.clock;
-        let line = self.lines.entry(team).or_default();
-        if line.waiting.is_empty() {
-            line.virtual_time = line.virtual_time.max(clock);
+    pub fn ensure_team(&mut self, team: TeamKey) {
+        let virtual_time = self.virtual_time;
+        let queue = self.teams.entry(team).or_default();
+        if queue.waiting.is_empty() {
+            queue.virtual_time = queue.virtual_time.max(virtual_time);
         }
     }
 
@@ -179,15 +179,15 @@
     /// returns their tickets.
     pub fn expire(&mut self, now: Moment) -> Vec<Ticket> {
         let horizon = now + self.estimate(now);
-        let late: Vec<Ticket> = self
+        let expired: Vec<Ticket> = self
             .deadlines
             .range(..(horizon, Ticket::MAX))
             .map(|(&(_, ticket), _)| ticket)
             .collect();
-        for &ticket in &late {
+        for &ticket in &expired {
             self.remove(ticket);
         }
-        late
+        expired
     }
 
     /// Removes all requests and returns their tickets.
@@ -201,9 +201,9 @@
 
     // The queue's virtual time is the least one of a team with waiting requests. A team
     // that was idle joins no earlier, so that it earns no credit for that time.
-    fn advance(&mut self) {
+    fn advance_virtual_time(&mut self) {
         if let Some(&(first, _)) = self.active.first() {
-            self.clock = self.clock.max(first);
+            self.virtual_time = self.virtual_time.max(first);
         }
     }
 }
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -62,15 +62,15 @@
 struct Load {
     remote: bool,
     ratio: u64,
-    turn: u64,
+    rotation: u64,
     key: UpstreamKey,
 }
 
 /// Upstreams of one service that have an idle slot, in the order of preference.
 #[derive(Debug, Default)]
 pub struct Index {
-    idle: BTreeSet<Load>,
-    turn: u64,
+    entries: BTreeSet<Load>,
+    rotation: u64,
 }
 
 impl Upstream {
@@ -135,31 +135,31 @@
     /// Updates the entry of one upstream after a change of its load or state.
     pub fn refresh(&mut self, key: UpstreamKey, upstream: &mut Upstream) {
         if let Some(old) = upstream.indexed.take() {
-            self.idle.remove(&old);
+            self.entries.remove(&old);
         }
         if upstream.leaving || upstream.holding.idle() == 0 {
             return;
         }
-        self.turn += 1;
+        self.rotation += 1;
         let load = Load {
             remote: upstream.remote,
             ratio: upstream.holding.in_use() * LOAD_SCALE / upstream.holding.allowed().max(1),
-            turn: self.turn,
+            rotation: self.rotation,
             key,
         };
-        self.idle.insert(load);
+        self.entries.insert(load);
         upstream.indexed = Some(load);
     }
 
     /// Removes the entry of one upstream.
-    pub fn drop_entry(&mut self, upstream: &mut Upstream) {
+    pub fn remove(&mut self, upstream: &mut Upstream) {
         if let Some(old) = upstream.indexed.take() {
-            self.idle.remove(&old);
+            self.entries.remove(&old);
         }
     }
 
     /// Returns the upstreams with an idle slot in the order of preference.
     pub fn candidates(&self) -> impl Iterator<Item = UpstreamKey> {
-        self.idle.iter().map(|load| load.key)
+        self.entries.iter().map(|load| load.key)
     }
 }
