--- a/src/core/allocator/division.rs
+++ b/src/core/allocator/division.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Allocator, DIVIDE_EVERY, FLEET, Holder};
+use super::{Allocator, DIVISION_INTERVAL, Holder, TASK_HOLDER};
 use crate::core::escrow::Cell;
 use crate::core::registry::InstanceId;
 use crate::core::share::{Claim, Claimant, divide, round_down, targets};
@@ -10,19 +10,19 @@
 
 /// Target and present allotment of one holder.
 #[derive(Clone, Copy, Debug)]
-struct Position {
+struct Allocation {
     holder: InstanceId,
     target: u64,
-    has: u64,
+    held: u64,
 }
 
-impl Position {
+impl Allocation {
     const fn deficit(self) -> u64 {
-        self.target.saturating_sub(self.has)
+        self.target.saturating_sub(self.held)
     }
 
     const fn surplus(self) -> u64 {
-        self.has.saturating_sub(self.target)
+        self.held.saturating_sub(self.target)
     }
 }
 
@@ -30,14 +30,14 @@
     /// Gives free slots and units to holders below their targets and recalls the rest
     /// from holders above theirs. Without `force`, at most once per interval.
     pub(super) fn divide(&mut self, now: Moment, force: bool) {
-        if !self.may_give(now) || (!force && now < self.divide_at) {
+        if !self.predecessors_expired(now) || (!force && now < self.next_division) {
             return;
         }
-        self.divide_at = now + DIVIDE_EVERY;
+        self.next_division = now + DIVISION_INTERVAL;
         for service in self.services() {
             self.divide_slots(&service);
         }
-        if !self.units_clear(now) {
+        if !self.predecessor_work_ended(now) {
             return;
         }
         let teams: Vec<String> = self.units.keys().cloned().collect();
@@ -48,7 +48,7 @@
 
     fn services(&self) -> Vec<String> {
         let mut services: Vec<String> = self
-            .hosts
+            .upstreams
             .values()
             .map(|h| h.announcement().service.clone())
             .collect();
@@ -65,20 +65,20 @@
     }
 
     fn divide_slots(&mut self, service: &str) {
-        let cells: Vec<Cell> = self
-            .hosts
+        let resources: Vec<Cell> = self
+            .upstreams
             .iter()
             .filter(|(_, h)| h.announcement().service == service && h.is_usable())
-            .map(|(&cell, _)| cell)
+            .map(|(&resource, _)| resource)
             .collect();
-        let capacity: u64 = cells
+        let capacity: u64 = resources
             .iter()
-            .map(|c| self.hosts[c].issuer().capacity())
+            .map(|c| self.upstreams[c].issuer().capacity())
             .sum();
-        let mut has: BTreeMap<InstanceId, u64> = BTreeMap::new();
-        for cell in &cells {
-            for (id, account) in self.hosts[cell].issuer().accounts() {
-                *has.entry(id).or_default() += account.balance();
+        let mut held: BTreeMap<InstanceId, u64> = BTreeMap::new();
+        for resource in &resources {
+            for (id, account) in self.upstreams[resource].issuer().accounts() {
+                *held.entry(id).or_default() += account.balance();
             }
         }
         let demands = self.slot_demands(service, capacity);
@@ -91,23 +91,26 @@
             })
             .collect();
         let ids: Vec<InstanceId> = self.open_holders().map(|(id, _)| id).collect();
-        let positions = positions(capacity, &ids, &claims, &has);
-        self.give_slots(&cells, &positions);
-        let free: u64 = cells.iter().map(|c| self.hosts[c].issuer().free()).sum();
-        let has = |id| {
-            cells
+        let allocations = allocations(capacity, &ids, &claims, &held);
+        self.give_slots(&resources, &allocations);
+        let free: u64 = resources
+            .iter()
+            .map(|c| self.upstreams[c].issuer().free())
+            .sum();
+        let held = |id| {
+            resources
                 .iter()
-                .map(|c| self.hosts[c].issuer().account(id).balance())
+                .map(|c| self.upstreams[c].issuer().account(id).balance())
                 .sum()
         };
-        let after: Vec<Position> = positions
+        let after: Vec<Allocation> = allocations
             .iter()
-            .map(|p| Position {
-                has: has(p.holder),
+            .map(|p| Allocation {
+                held: held(p.holder),
                 ..*p
             })
             .collect();
-        for (id, units) in recalls(free, 0, &after) {
+        for (id, units) in plan_recalls(free, 0, &after) {
             let holder = self.holders.get_mut(&id).expect("open holder");
             holder.recall_slots.insert(service.to_owned(), units);
             holder.urgent = true;
@@ -146,49 +149,51 @@
         shares.into_keys().zip(units).collect()
     }
 
-    fn give_slots(&mut self, cells: &[Cell], positions: &[Position]) {
-        let count = cells.len();
+    fn give_slots(&mut self, resources: &[Cell], allocations: &[Allocation]) {
+        let count = resources.len();
         // Each holder starts at a different upstream, to spread the load.
-        for (turn, position) in positions.iter().enumerate() {
-            let mut left = position.deficit();
+        for (index, allocation) in allocations.iter().enumerate() {
+            let mut left = allocation.deficit();
             let mut step = 0;
             while left > 0 && step < count {
-                let cell = cells[(step + turn * count / positions.len().max(1)) % count];
+                let resource = resources[(step + index * count / allocations.len().max(1)) % count];
                 step += 1;
-                let host = self.hosts.get_mut(&cell).expect("listed upstream");
+                let upstream = self.upstreams.get_mut(&resource).expect("listed upstream");
                 // Even parts first; the second pass gives what uneven free slots left.
                 let even = left.div_ceil((count - step + 1) as u64);
-                let given = host.issuer_mut().give(position.holder, even);
+                let given = upstream.issuer_mut().give(allocation.holder, even);
                 left -= given;
                 if given > 0 {
-                    self.mark_slots(position.holder, cell);
+                    self.mark_slots_dirty(allocation.holder, resource);
                 }
             }
-            for &cell in cells {
+            for &resource in resources {
                 if left == 0 {
                     break;
                 }
-                let host = self.hosts.get_mut(&cell).expect("listed upstream");
-                let given = host.issuer_mut().give(position.holder, left);
+                let upstream = self.upstreams.get_mut(&resource).expect("listed upstream");
+                let given = upstream.issuer_mut().give(allocation.holder, left);
                 left -= given;
                 if given > 0 {
-                    self.mark_slots(position.holder, cell);
+                    self.mark_slots_dirty(allocation.holder, resource);
                 }
             }
         }
     }
 
-    fn mark_slots(&mut self, id: InstanceId, cell: Cell) {
+    fn mark_slots_dirty(&mut self, id: InstanceId, resource: Cell) {
         let holder = self.holders.get_mut(&id).expect("open holder");
-        holder.dirty_slots.insert(cell, holder.number + 1);
+        holder
+            .dirty_slots
+            .insert(resource, holder.last_allotment + 1);
         holder.urgent = true;
     }
 
     fn divide_units(&mut self, team: &str) {
         let issuer = &self.units[team].issuer;
-        let has: BTreeMap<InstanceId, u64> =
+        let held: BTreeMap<InstanceId, u64> =
             issuer.accounts().map(|(id, a)| (id, a.balance())).collect();
-        let capacity = issuer.capacity().saturating_sub(self.units[team].owed);
+        let capacity = issuer.capacity().saturating_sub(self.units[team].recalled);
         let mut ids: Vec<InstanceId> = self.open_holders().map(|(id, _)| id).collect();
         let mut claims: Vec<Claim> = self
             .open_holders()
@@ -204,40 +209,47 @@
             })
             .collect();
         // Tasks reserve their units themselves; here these are only kept free.
-        ids.push(FLEET);
+        ids.push(TASK_HOLDER);
         claims.push(Claim {
             weight: 1,
-            demand: self.units[team].tasks,
+            demand: self.units[team].task_demand,
             standing: false,
         });
-        let mut positions = positions(capacity, &ids, &claims, &has);
-        let tasks = positions.pop().expect("just added");
+        let mut allocations = allocations(capacity, &ids, &claims, &held);
+        let task_allocation = allocations.pop().expect("just added");
         let mut after = Vec::new();
-        for position in &positions {
+        for allocation in &allocations {
             let units = self.units.get_mut(team).expect("known team");
-            let kept = units.owed + tasks.deficit();
-            let spare = units.issuer.free().saturating_sub(kept);
+            let reserved = units.recalled + task_allocation.deficit();
+            let spare = units.issuer.free().saturating_sub(reserved);
             let given = units
                 .issuer
-                .give(position.holder, position.deficit().min(spare));
-            after.push(Position {
-                has: position.has + given,
-                ..*position
+                .give(allocation.holder, allocation.deficit().min(spare));
+            after.push(Allocation {
+                held: allocation.held + given,
+                ..*allocation
             });
             if given > 0 {
-                let holder = self.holders.get_mut(&position.holder).expect("open holder");
+                let holder = self
+                    .holders
+                    .get_mut(&allocation.holder)
+                    .expect("open holder");
                 holder
                     .dirty_units
-                    .insert(team.to_owned(), holder.number + 1);
+                    .insert(team.to_owned(), holder.last_allotment + 1);
                 holder.urgent = true;
             }
         }
         let issuer = &self.units[team].issuer;
-        let owed = self.units[team].owed;
-        let free = issuer.free().saturating_sub(owed);
-        let lack = tasks.deficit();
-        let mut wanted = recalls(free.saturating_sub(lack), lack.saturating_sub(free), &after);
-        if (issuer.excess() > 0 || owed > issuer.free()) && wanted.is_empty() {
+        let recalled = self.units[team].recalled;
+        let free = issuer.free().saturating_sub(recalled);
+        let task_deficit = task_allocation.deficit();
+        let mut wanted = plan_recalls(
+            free.saturating_sub(task_deficit),
+            task_deficit.saturating_sub(free),
+            &after,
+        );
+        if (issuer.excess() > 0 || recalled > issuer.free()) && wanted.is_empty() {
             wanted = after
                 .iter()
                 .filter(|p| p.surplus() > 0)
@@ -252,33 +264,33 @@
     }
 }
 
-fn positions(
+fn allocations(
     capacity: u64,
     ids: &[InstanceId],
     claims: &[Claim],
-    has: &BTreeMap<InstanceId, u64>,
-) -> Vec<Position> {
+    held: &BTreeMap<InstanceId, u64>,
+) -> Vec<Allocation> {
     ids.iter()
         .zip(targets(capacity, claims))
-        .map(|(&holder, target)| Position {
+        .map(|(&holder, target)| Allocation {
             holder,
             target,
-            has: has.get(&holder).copied().unwrap_or(0),
+            held: held.get(&holder).copied().unwrap_or(0),
         })
         .collect()
 }
 
 /// Returns how many units to recall from holders above their targets, so that together
-/// with `free` they cover the deficits of the others and `besides` more units.
-fn recalls(free: u64, besides: u64, positions: &[Position]) -> Vec<(InstanceId, u64)> {
-    let deficit: u64 = positions.iter().map(|p| p.deficit()).sum();
-    let mut wanted = deficit.saturating_sub(free) + besides;
+/// with `free` they cover the deficits of the others and `extra` more units.
+fn plan_recalls(free: u64, extra: u64, allocations: &[Allocation]) -> Vec<(InstanceId, u64)> {
+    let deficit: u64 = allocations.iter().map(|p| p.deficit()).sum();
+    let mut wanted = deficit.saturating_sub(free) + extra;
     let mut recalls = Vec::new();
-    for position in positions {
-        let units = position.surplus().min(wanted);
+    for allocation in allocations {
+        let units = allocation.surplus().min(wanted);
         if units > 0 {
             wanted -= units;
-            recalls.push((position.holder, units));
+            recalls.push((allocation.holder, units));
         }
     }
     recalls
--- a/src/core/allocator/expiry.rs
+++ b/src/core/allocator/expiry.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{ALLOTMENT_TERM, Allocator, FORGET_AFTER, Host, Linger, SILENT_AFTER};
+use super::{
+    ALLOTMENT_TERM, Allocator, HEARTBEAT_TIMEOUT, LostHolder, UPSTREAM_RETENTION, Upstream,
+};
 use crate::core::escrow::Cell;
 use crate::core::registry::InstanceId;
 use crate::core::time::{Moment, with_clock_margin};
@@ -16,25 +18,25 @@
         let expired: Vec<InstanceId> = self
             .holders
             .iter()
-            .filter(|(_, h)| now >= h.heard + term)
+            .filter(|(_, h)| now >= h.last_heard + term)
             .map(|(&id, _)| id)
             .collect();
         for id in expired {
             self.holders.remove(&id);
-            let linger = Linger {
+            let lost = LostHolder {
                 expired_at: now,
-                until: now + with_clock_margin(self.run_limit),
+                close_at: now + with_clock_margin(self.run_limit),
             };
-            self.lingering.insert(id, linger);
+            self.lost_holders.insert(id, lost);
         }
         let ended: Vec<InstanceId> = self
-            .lingering
+            .lost_holders
             .iter()
-            .filter(|(_, l)| now >= l.until)
+            .filter(|(_, l)| now >= l.close_at)
             .map(|(&id, _)| id)
             .collect();
         for id in ended {
-            self.lingering.remove(&id);
+            self.lost_holders.remove(&id);
             if self.holders.get(&id).is_some_and(|h| h.open) {
                 continue;
             }
@@ -44,8 +46,8 @@
 
     pub(super) fn close_accounts(&mut self, id: InstanceId) {
         let retired = self.retired.values_mut();
-        let hosts = self.hosts.values_mut().map(Host::issuer_mut);
-        for issuer in hosts.chain(retired) {
+        let upstreams = self.upstreams.values_mut().map(Upstream::issuer_mut);
+        for issuer in upstreams.chain(retired) {
             issuer.forget(id);
         }
         for units in self.units.values_mut() {
@@ -54,33 +56,33 @@
     }
 
     /// Stops the use of silent upstreams, and removes those that stay silent.
-    pub(super) fn expire_hosts(&mut self, now: Moment) {
-        let safe_at = self.safe_at();
+    pub(super) fn expire_upstreams(&mut self, now: Moment) {
+        let predecessors_expired_at = self.predecessors_expired_at();
         let run_limit = with_clock_margin(self.run_limit);
         let mut changed = Vec::new();
-        let mut gone = Vec::new();
-        for (&cell, host) in &mut self.hosts {
-            if self.first || now >= safe_at + run_limit {
-                host.clear();
+        let mut removed = Vec::new();
+        for (&resource, upstream) in &mut self.upstreams {
+            if self.first_term || now >= predecessors_expired_at + run_limit {
+                upstream.set_reconciled();
             }
-            if !host.is_leaving() && now.since(host.heard()) >= SILENT_AFTER {
-                host.leave();
-                changed.push(cell);
+            if !upstream.is_leaving() && now.since(upstream.last_heard()) >= HEARTBEAT_TIMEOUT {
+                upstream.set_silent();
+                changed.push(resource);
             }
-            let forgotten = now.since(host.heard()) >= FORGET_AFTER;
-            if forgotten && host.is_leaving() && host.issuer().outstanding() == 0 {
-                gone.push(cell);
+            let forgotten = now.since(upstream.last_heard()) >= UPSTREAM_RETENTION;
+            if forgotten && upstream.is_leaving() && upstream.issuer().outstanding() == 0 {
+                removed.push(resource);
             }
         }
-        for cell in changed {
-            self.mark_host(cell);
+        for resource in changed {
+            self.mark_upstream_dirty(resource);
         }
-        for cell in gone {
-            if let Some(host) = self.hosts.remove(&cell) {
-                let name = &host.announcement().name;
-                self.retired.insert(cell, host.issuer().clone());
-                if self.names.get(name) == Some(&cell) {
-                    self.names.remove(name);
+        for resource in removed {
+            if let Some(upstream) = self.upstreams.remove(&resource) {
+                let name = &upstream.announcement().name;
+                self.retired.insert(resource, upstream.issuer().clone());
+                if self.resources_by_name.get(name) == Some(&resource) {
+                    self.resources_by_name.remove(name);
                 }
             }
         }
@@ -88,42 +90,45 @@
 
     // The upstream's own count of running requests replaces the accounts of lost holders
     // if it was made after their allotments expired, when they could send no more.
-    pub(super) fn settle_lingering(
+    pub(super) fn reconcile_running(
         &mut self,
         now: Moment,
-        cell: Cell,
+        resource: Cell,
         running: &BTreeMap<InstanceId, u32>,
         counted_after: Option<Moment>,
     ) {
         let Some(counted_after) = counted_after else {
             return;
         };
-        let settled = self.first || counted_after >= self.safe_at();
-        let host = self.hosts.get_mut(&cell).expect("announced upstream");
-        for (&id, linger) in &self.lingering {
-            if counted_after <= linger.expired_at || self.holders.get(&id).is_some_and(|h| h.open) {
+        let settled = self.first_term || counted_after >= self.predecessors_expired_at();
+        let upstream = self
+            .upstreams
+            .get_mut(&resource)
+            .expect("announced upstream");
+        for (&id, lost) in &self.lost_holders {
+            if counted_after <= lost.expired_at || self.holders.get(&id).is_some_and(|h| h.open) {
                 continue;
             }
             match running.get(&id) {
-                Some(&count) => host.issuer_mut().adopt(id, u64::from(count)),
-                None => host.issuer_mut().forget(id),
+                Some(&count) => upstream.issuer_mut().adopt(id, u64::from(count)),
+                None => upstream.issuer_mut().forget(id),
             }
         }
-        if host.is_clear() || !settled {
+        if upstream.is_reconciled() || !settled {
             return;
         }
         // Requests of holders that have not reported to this leader yet.
         for (&id, &count) in running {
             let known = self.holders.get(&id).is_some_and(|h| h.open);
             if !known && count > 0 {
-                host.issuer_mut().adopt(id, u64::from(count));
-                let linger = Linger {
+                upstream.issuer_mut().adopt(id, u64::from(count));
+                let lost = LostHolder {
                     expired_at: now,
-                    until: now + with_clock_margin(self.run_limit),
+                    close_at: now + with_clock_margin(self.run_limit),
                 };
-                self.lingering.insert(id, linger);
+                self.lost_holders.insert(id, lost);
             }
         }
-        host.clear();
+        upstream.set_reconciled();
     }
 }
--- a/src/core/allocator/host.rs
+++ b/src/core/allocator/host.rs
@@ -64,38 +64,41 @@
 
 /// An upstream and the accounts of its slots.
 #[derive(Debug)]
-pub struct Host {
+pub struct Upstream {
     announcement: Announcement,
     issuer: Issuer<InstanceId>,
-    heard: Moment,
+    last_heard: Moment,
     leaving: bool,
     silent: bool,
-    clear: bool,
+    reconciled: bool,
 }
 
-impl Host {
+impl Upstream {
     /// Returns an upstream whose first heartbeat arrived at `now`.
     pub const fn new(announcement: Announcement, issuer: Issuer<InstanceId>, now: Moment) -> Self {
         Self {
             announcement,
             issuer,
-            heard: now,
+            last_heard: now,
             leaving: false,
             silent: false,
-            clear: false,
+            reconciled: false,
         }
     }
 
     /// Records a heartbeat and returns whether holders must be notified of a change.
-    pub fn take(&mut self, now: Moment, beat: &Heartbeat) -> bool {
-        let limit = beat.announcement.slots.min(beat.announcement.connections);
+    pub fn update(&mut self, now: Moment, heartbeat: &Heartbeat) -> bool {
+        let limit = heartbeat
+            .announcement
+            .slots
+            .min(heartbeat.announcement.connections);
         let was_leaving = self.is_leaving();
-        let changed = self.announcement != beat.announcement;
-        self.announcement = beat.announcement.clone();
+        let changed = self.announcement != heartbeat.announcement;
+        self.announcement = heartbeat.announcement.clone();
         self.issuer.set_capacity(u64::from(limit));
-        self.heard = now;
+        self.last_heard = now;
         self.silent = false;
-        self.leaving |= beat.leaving;
+        self.leaving |= heartbeat.leaving;
         changed || was_leaving != self.is_leaving()
     }
 
@@ -115,8 +118,8 @@
     }
 
     /// Returns the time of the last heartbeat.
-    pub const fn heard(&self) -> Moment {
-        self.heard
+    pub const fn last_heard(&self) -> Moment {
+        self.last_heard
     }
 
     /// Returns whether it is sent no new requests, as it is leaving or silent.
@@ -125,23 +128,23 @@
     }
 
     /// Stops new requests to it until the next heartbeat.
-    pub const fn leave(&mut self) {
+    pub const fn set_silent(&mut self) {
         self.silent = true;
     }
 
     /// Returns whether all slots in use under earlier leaders are accounted for.
-    pub const fn is_clear(&self) -> bool {
-        self.clear
+    pub const fn is_reconciled(&self) -> bool {
+        self.reconciled
     }
 
     /// Records that all slots in use under earlier leaders are accounted for.
-    pub const fn clear(&mut self) {
-        self.clear = true;
+    pub const fn set_reconciled(&mut self) {
+        self.reconciled = true;
     }
 
     /// Returns whether its free slots may be given to holders.
     pub const fn is_usable(&self) -> bool {
-        self.clear && !self.is_leaving()
+        self.reconciled && !self.is_leaving()
     }
 
     /// Returns the description sent to entry instances.
@@ -165,7 +168,7 @@
 /// # Errors
 ///
 /// Fails with [`Kind::BadAnnouncement`] if a name, a count or the address is invalid.
-pub fn check(a: &Announcement) -> Result<()> {
+pub fn validate(a: &Announcement) -> Result<()> {
     let bad = |message: String| Err(Error::new(Kind::BadAnnouncement, message));
     if !is_name(&a.name) || !is_name(&a.service) || !is_name(&a.zone) {
         return bad("name, service and zone may have letters, digits, `-`, `_` and `.`".into());
--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use host::{Heartbeat, Host, Seen};
+pub use host::{Heartbeat, Seen, Upstream};
 
 use crate::core::escrow::{Cell, Issuer};
 use crate::core::fleet::WORKER_LEASE;
@@ -24,14 +24,14 @@
 /// Time for which an entry instance may use an allotment, on its own clock.
 pub const ALLOTMENT_TERM: Duration = Duration::from_millis(1_000);
 /// Shortest interval between divisions of the capacity on reports; a tick always divides.
-const DIVIDE_EVERY: Duration = Duration::from_millis(50);
+const DIVISION_INTERVAL: Duration = Duration::from_millis(50);
 /// Time without a heartbeat after which an upstream is sent no new requests.
-pub const SILENT_AFTER: Duration = Duration::from_millis(2_500);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time without a heartbeat after which an upstream is removed, once no holder has any
 /// of its slots.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+const UPSTREAM_RETENTION: Duration = Duration::from_secs(30);
 /// Holder of the units that tasks placed in the zone use.
-pub const FLEET: InstanceId = InstanceId(0);
+pub const TASK_HOLDER: InstanceId = InstanceId(0);
 
 /// Units of one team's limit in this zone.
 #[derive(Debug)]
@@ -39,8 +39,8 @@
     issuer: Issuer<InstanceId>,
     share: u32,
     returned: u64,
-    owed: u64,
-    tasks: u64,
+    recalled: u64,
+    task_demand: u64,
 }
 
 /// State of one entry instance that holds slots and units.
@@ -50,13 +50,13 @@
     open: bool,
     local: bool,
     leaving: bool,
-    heard: Moment,
-    number: u64,
-    report: u64,
+    last_heard: Moment,
+    last_allotment: u64,
+    last_report: u64,
     demands: Vec<wire::Demand>,
     dirty_slots: BTreeMap<Cell, u64>,
     dirty_units: BTreeMap<String, u64>,
-    dirty_hosts: BTreeMap<Cell, u64>,
+    dirty_upstreams: BTreeMap<Cell, u64>,
     recall_slots: BTreeMap<String, u64>,
     recall_units: BTreeMap<String, u64>,
     urgent: bool,
@@ -77,9 +77,9 @@
 
 /// A lost holder whose accounts stay open until its requests have certainly ended.
 #[derive(Clone, Copy, Debug)]
-struct Linger {
+struct LostHolder {
     expired_at: Moment,
-    until: Moment,
+    close_at: Moment,
 }
 
 /// Allocation state of a zone leader, kept while it leads.
@@ -87,46 +87,46 @@
 pub struct Allocator {
     zone: String,
     term: u64,
-    taken_at: Moment,
-    first: bool,
+    leader_since: Moment,
+    first_term: bool,
     run_limit: Duration,
-    hosts: BTreeMap<Cell, Host>,
-    names: BTreeMap<String, Cell>,
+    upstreams: BTreeMap<Cell, Upstream>,
+    resources_by_name: BTreeMap<String, Cell>,
     retired: BTreeMap<Cell, Issuer<InstanceId>>,
     units: BTreeMap<String, Units>,
-    unit_names: BTreeMap<Cell, String>,
+    teams_by_resource: BTreeMap<Cell, String>,
     holders: BTreeMap<InstanceId, Holder>,
-    lingering: BTreeMap<InstanceId, Linger>,
-    sessions: u64,
-    divide_at: Moment,
+    lost_holders: BTreeMap<InstanceId, LostHolder>,
+    epochs: u64,
+    next_division: Moment,
 }
 
 impl Allocator {
-    /// Returns the state of a leader elected at `now`. `first` marks the first term of a
+    /// Returns the state of a leader elected at `now`. `first_term` marks the first term of a
     /// zone, which has no earlier leader whose allotments could still be in use.
     /// `run_limit` is the longest time that work continues after its holder was lost.
     pub const fn new(
         zone: String,
         term: u64,
-        first: bool,
+        first_term: bool,
         now: Moment,
         run_limit: Duration,
     ) -> Self {
         Self {
             zone,
             term,
-            taken_at: now,
-            first,
+            leader_since: now,
+            first_term,
             run_limit,
-            hosts: BTreeMap::new(),
-            names: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
+            resources_by_name: BTreeMap::new(),
             retired: BTreeMap::new(),
             units: BTreeMap::new(),
-            unit_names: BTreeMap::new(),
+            teams_by_resource: BTreeMap::new(),
             holders: BTreeMap::new(),
-            lingering: BTreeMap::new(),
-            sessions: 0,
-            divide_at: now,
+            lost_holders: BTreeMap::new(),
+            epochs: 0,
+            next_division: now,
         }
     }
 
@@ -146,8 +146,8 @@
     }
 
     /// Returns the upstreams.
-    pub fn hosts(&self) -> impl Iterator<Item = &Host> {
-        self.hosts.values()
+    pub fn hosts(&self) -> impl Iterator<Item = &Upstream> {
+        self.upstreams.values()
     }
 
     /// Sets a team's share, and the units of its limit that the zone holds, by the
@@ -157,23 +157,24 @@
             issuer: Issuer::new(0),
             share,
             returned,
-            owed: 0,
-            tasks: 0,
+            recalled: 0,
+            task_demand: 0,
         });
         units.share = share;
         units.returned = units.returned.max(returned);
         units
             .issuer
             .set_capacity(given.saturating_sub(units.returned));
-        self.unit_names.insert(cell_named(team), team.to_owned());
+        self.teams_by_resource
+            .insert(cell_named(team), team.to_owned());
     }
 
     // Holders unknown to this leader may use units given by earlier ones until their
     // allotments have expired and their requests and tasks have ended. Until then no
     // units are given.
-    fn units_clear(&self, now: Moment) -> bool {
+    fn predecessor_work_ended(&self, now: Moment) -> bool {
         let longest = self.run_limit.max(WORKER_LEASE);
-        self.first || now >= self.safe_at() + with_clock_margin(longest)
+        self.first_term || now >= self.predecessors_expired_at() + with_clock_margin(longest)
     }
 
     /// Returns the unit demand of each team.
@@ -186,7 +187,7 @@
             .iter()
             .map(|(team, units)| UnitDemand {
                 team: team.clone(),
-                demand: requests.get(team.as_str()).copied().unwrap_or(0) + units.tasks,
+                demand: requests.get(team.as_str()).copied().unwrap_or(0) + units.task_demand,
                 capacity: units.issuer.capacity(),
                 returned: units.returned,
             })
@@ -197,33 +198,33 @@
     /// could use none.
     pub fn set_task_demands(&mut self, demands: &BTreeMap<String, u64>) {
         for (team, units) in &mut self.units {
-            units.tasks = demands.get(team).copied().unwrap_or(0);
+            units.task_demand = demands.get(team).copied().unwrap_or(0);
         }
     }
 
     /// Reserves up to `units` of a team's limit for tasks and returns how many.
     pub fn take_units(&mut self, now: Moment, team: &str, units: u64) -> u64 {
-        if !self.units_clear(now) {
+        if !self.predecessor_work_ended(now) {
             return 0;
         }
         self.units
             .get_mut(team)
-            .map_or(0, |u| u.issuer.give(FLEET, units))
+            .map_or(0, |u| u.issuer.give(TASK_HOLDER, units))
     }
 
     /// Releases units of a team's limit that tasks no longer use.
     pub fn put_units(&mut self, team: &str, units: u64) {
         if let Some(u) = self.units.get_mut(team) {
-            let account = u.issuer.account(FLEET);
-            u.issuer.settle(FLEET, account.returned + units);
+            let account = u.issuer.account(TASK_HOLDER);
+            u.issuer.settle(TASK_HOLDER, account.returned + units);
         }
     }
 
     /// Reserves units for tasks that were found running, even above the zone's units.
     pub fn adopt_units(&mut self, team: &str, units: u64) {
         if let Some(u) = self.units.get_mut(team) {
-            let held = u.issuer.account(FLEET).balance();
-            u.issuer.adopt(FLEET, held + units);
+            let held = u.issuer.account(TASK_HOLDER).balance();
+            u.issuer.adopt(TASK_HOLDER, held + units);
         }
     }
 
@@ -234,45 +235,48 @@
     ///
     /// Fails with [`Kind::BadAnnouncement`] if the announcement is invalid, is for another
     /// zone, or conflicts with a newer incarnation or another live upstream of its name.
-    pub fn announce(&mut self, now: Moment, beat: &Heartbeat) -> Result<Option<Event>> {
-        host::check(&beat.announcement)?;
-        if beat.announcement.zone != self.zone {
+    pub fn announce(&mut self, now: Moment, heartbeat: &Heartbeat) -> Result<Option<Event>> {
+        host::validate(&heartbeat.announcement)?;
+        if heartbeat.announcement.zone != self.zone {
             let message = format!("this leader serves zone {}", self.zone);
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        let cell = cell_of(&beat.announcement);
-        let name = beat.announcement.name.clone();
-        if let Some(old) = self.names.get(&name).copied()
-            && old != cell
+        let resource = cell_of(&heartbeat.announcement);
+        let name = heartbeat.announcement.name.clone();
+        if let Some(old) = self.resources_by_name.get(&name).copied()
+            && old != resource
         {
-            self.supersede(now, old, &beat.announcement)?;
+            self.supersede(now, old, &heartbeat.announcement)?;
         }
-        self.names.insert(name, cell);
-        let limit = beat.announcement.slots.min(beat.announcement.connections);
+        self.resources_by_name.insert(name, resource);
+        let limit = heartbeat
+            .announcement
+            .slots
+            .min(heartbeat.announcement.connections);
         let retired = &mut self.retired;
-        let is_new = !self.hosts.contains_key(&cell);
-        let host = self.hosts.entry(cell).or_insert_with(|| {
-            let issuer = retired.remove(&cell);
+        let is_new = !self.upstreams.contains_key(&resource);
+        let state = self.upstreams.entry(resource).or_insert_with(|| {
+            let issuer = retired.remove(&resource);
             let issuer = issuer.unwrap_or_else(|| Issuer::new(u64::from(limit)));
-            Host::new(beat.announcement.clone(), issuer, now)
+            Upstream::new(heartbeat.announcement.clone(), issuer, now)
         });
-        if host.announcement().address != beat.announcement.address {
+        if state.announcement().address != heartbeat.announcement.address {
             let message = "this name and incarnation are announced from another address";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        let changed = host.take(now, beat);
+        let changed = state.update(now, heartbeat);
         if changed || is_new {
-            self.mark_host(cell);
+            self.mark_upstream_dirty(resource);
         }
-        let upstream = beat.announcement.name.clone();
-        let event = match (is_new, changed && beat.leaving) {
+        let upstream = heartbeat.announcement.name.clone();
+        let event = match (is_new, changed && heartbeat.leaving) {
             (true, _) => Some(Event::UpstreamUp { upstream }),
             (_, true) => Some(Event::UpstreamLeaving { upstream }),
             _ => None,
         };
-        if let Some(running) = &beat.running {
-            let counted_after = beat.seen.filter(|seen| seen.term == self.term);
-            self.settle_lingering(now, cell, running, counted_after.map(|seen| seen.at));
+        if let Some(running) = &heartbeat.running {
+            let counted_after = heartbeat.seen.filter(|seen| seen.term == self.term);
+            self.reconcile_running(now, resource, running, counted_after.map(|seen| seen.at));
         }
         Ok(event)
     }
@@ -281,19 +285,19 @@
     /// and returns the free ones. The rest is recalled from holders.
     pub fn recall(&mut self, now: Moment, team: &str, units: u64) {
         if let Some(state) = self.units.get_mut(team) {
-            state.owed = units.min(state.issuer.capacity());
+            state.recalled = units.min(state.issuer.capacity());
         }
         self.return_owed(now);
     }
 
     /// Returns free units to the pool of the root group, up to what it has recalled.
     pub fn return_owed(&mut self, now: Moment) {
-        if !self.units_clear(now) {
+        if !self.predecessor_work_ended(now) {
             return;
         }
         for units in self.units.values_mut() {
-            let free = units.issuer.free().min(units.owed);
-            units.owed -= free;
+            let free = units.issuer.free().min(units.recalled);
+            units.recalled -= free;
             units.returned += free;
             units.issuer.set_capacity(units.issuer.capacity() - free);
         }
@@ -301,21 +305,21 @@
 
     /// Retires the previous incarnation of an upstream that was restarted.
     fn supersede(&mut self, now: Moment, old: Cell, new: &Announcement) -> Result<()> {
-        let Some(host) = self.hosts.get_mut(&old) else {
+        let Some(upstream) = self.upstreams.get_mut(&old) else {
             return Ok(());
         };
-        let known = host.announcement();
+        let known = upstream.announcement();
         if new.incarnation < known.incarnation {
             let message = format!("newer incarnation {} is known", known.incarnation);
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        let alive = !host.is_leaving() && now.since(host.heard()) < SILENT_AFTER;
+        let alive = !upstream.is_leaving() && now.since(upstream.last_heard()) < HEARTBEAT_TIMEOUT;
         if alive && new.address != known.address {
             let message = format!("{} announces from {}", known.name, known.address);
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        host.leave();
-        self.mark_host(old);
+        upstream.set_silent();
+        self.mark_upstream_dirty(old);
         Ok(())
     }
 
@@ -323,7 +327,7 @@
     /// allotments to be sent before the next report of their holders.
     pub fn tick(&mut self, now: Moment) -> Vec<(InstanceId, wire::Allotment)> {
         self.expire_holders(now);
-        self.expire_hosts(now);
+        self.expire_upstreams(now);
         self.divide(now, true);
         let urgent: Vec<InstanceId> = self
             .holders
@@ -339,17 +343,19 @@
 
     /// Returns whether all allotments of earlier leaders have expired, with a margin for
     /// clock drift.
-    pub fn may_give(&self, now: Moment) -> bool {
-        self.first || now >= self.safe_at()
+    pub fn predecessors_expired(&self, now: Moment) -> bool {
+        self.first_term || now >= self.predecessors_expired_at()
     }
 
-    fn safe_at(&self) -> Moment {
-        self.taken_at + with_clock_margin(ALLOTMENT_TERM)
+    fn predecessors_expired_at(&self) -> Moment {
+        self.leader_since + with_clock_margin(ALLOTMENT_TERM)
     }
 
-    fn mark_host(&mut self, cell: Cell) {
+    fn mark_upstream_dirty(&mut self, resource: Cell) {
         for holder in self.holders.values_mut() {
-            holder.dirty_hosts.insert(cell, holder.number + 1);
+            holder
+                .dirty_upstreams
+                .insert(resource, holder.last_allotment + 1);
             holder.urgent = true;
         }
     }
@@ -368,9 +374,9 @@
     pub returned: u64,
 }
 
-const fn balance(cell: Cell, given: u64, returned: u64) -> wire::Balance {
+const fn balance(resource: Cell, given: u64, returned: u64) -> wire::Balance {
     wire::Balance {
-        cell: cell.0,
+        cell: resource.0,
         given,
         returned,
     }
--- a/src/core/allocator/reports.rs
+++ b/src/core/allocator/reports.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Allocator, Holder, Host, balance};
+use super::{Allocator, Holder, Upstream, balance};
 use crate::core::escrow::{Cell, Issuer};
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
@@ -33,15 +33,15 @@
                 // A repeated opening; the accounts were opened by the first one.
                 return self.allot(now, from, report);
             }
-            return self.ask_to_reopen(now, from, report);
+            return self.request_reopen(now, from, report);
         }
         if report.opening {
-            if report.kept_idle && now >= self.safe_at() {
+            if report.kept_idle && now >= self.predecessors_expired_at() {
                 // Idle units given by an earlier leader have expired and may have been
                 // given to other holders since.
                 let holder = self.new_holder(now, local);
                 self.holders.insert(from, holder);
-                return self.ask_to_reopen(now, from, report);
+                return self.request_reopen(now, from, report);
             }
             self.open_accounts(now, from, report);
         }
@@ -52,19 +52,19 @@
 
     /// Returns a holder with closed accounts and a new epoch.
     pub(super) fn new_holder(&mut self, now: Moment, local: bool) -> Holder {
-        self.sessions += 1;
+        self.epochs += 1;
         Holder {
-            epoch: (self.term << 32) | self.sessions,
+            epoch: (self.term << 32) | self.epochs,
             open: false,
             local,
             leaving: false,
-            heard: now,
-            number: 0,
-            report: 0,
+            last_heard: now,
+            last_allotment: 0,
+            last_report: 0,
             demands: Vec::new(),
             dirty_slots: BTreeMap::new(),
             dirty_units: BTreeMap::new(),
-            dirty_hosts: BTreeMap::new(),
+            dirty_upstreams: BTreeMap::new(),
             recall_slots: BTreeMap::new(),
             recall_units: BTreeMap::new(),
             urgent: false,
@@ -73,20 +73,20 @@
     }
 
     /// Returns an allotment that asks the holder to reopen its accounts.
-    pub(super) fn ask_to_reopen(
+    pub(super) fn request_reopen(
         &mut self,
         now: Moment,
         from: InstanceId,
         report: &wire::Report,
     ) -> wire::Allotment {
         let holder = self.holders.get_mut(&from).expect("known holder");
-        holder.heard = now;
+        holder.last_heard = now;
         wire::Allotment {
             zone: self.zone.clone(),
             epoch: holder.epoch,
             sent_at: report.sent_at,
             reopen: true,
-            upstreams: self.hosts.values().map(Host::info).collect(),
+            upstreams: self.upstreams.values().map(Upstream::info).collect(),
             ..wire::Allotment::default()
         }
     }
@@ -96,58 +96,65 @@
         // Counters of an earlier epoch are not comparable with those of this one.
         self.close_accounts(from);
         for balance in &report.slots {
-            let cell = Cell(balance.cell);
+            let resource = Cell(balance.cell);
             // Accounts of an upstream that has not announced itself to this leader yet
             // are kept aside until it does.
-            let issuer = match self.hosts.get_mut(&cell) {
-                Some(host) => host.issuer_mut(),
-                None => self.retired.entry(cell).or_insert_with(|| Issuer::new(0)),
+            let issuer = match self.upstreams.get_mut(&resource) {
+                Some(upstream) => upstream.issuer_mut(),
+                None => self
+                    .retired
+                    .entry(resource)
+                    .or_insert_with(|| Issuer::new(0)),
             };
             issuer.adopt(from, balance.given);
         }
         for balance in &report.units {
-            if let Some(name) = self.unit_names.get(&Cell(balance.cell)) {
+            if let Some(name) = self.teams_by_resource.get(&Cell(balance.cell)) {
                 let units = self.units.get_mut(name).expect("named units");
                 units.issuer.adopt(from, balance.given);
             }
         }
         let holder = self.holders.get_mut(&from).expect("known holder");
         holder.open = true;
-        holder.heard = now;
-        holder.report = 0;
-        let next = holder.number + 1;
-        holder.dirty_hosts = self.hosts.keys().map(|&cell| (cell, next)).collect();
+        holder.last_heard = now;
+        holder.last_report = 0;
+        let next = holder.last_allotment + 1;
+        holder.dirty_upstreams = self
+            .upstreams
+            .keys()
+            .map(|&resource| (resource, next))
+            .collect();
     }
 
     /// Records the counters, demands and acknowledgement of a report.
     pub(super) fn settle(&mut self, now: Moment, from: InstanceId, report: &wire::Report) {
         for balance in &report.slots {
-            let cell = Cell(balance.cell);
-            let issuer = match self.hosts.get_mut(&cell) {
-                Some(host) => Some(host.issuer_mut()),
-                None => self.retired.get_mut(&cell),
+            let resource = Cell(balance.cell);
+            let issuer = match self.upstreams.get_mut(&resource) {
+                Some(upstream) => Some(upstream.issuer_mut()),
+                None => self.retired.get_mut(&resource),
             };
             if let Some(issuer) = issuer {
                 issuer.settle(from, balance.returned);
             }
         }
         for balance in &report.units {
-            if let Some(name) = self.unit_names.get(&Cell(balance.cell)) {
+            if let Some(name) = self.teams_by_resource.get(&Cell(balance.cell)) {
                 let units = self.units.get_mut(name).expect("named units");
                 units.issuer.settle(from, balance.returned);
             }
         }
         let holder = self.holders.get_mut(&from).expect("known holder");
-        holder.heard = now;
+        holder.last_heard = now;
         holder.leaving = report.leaving;
-        if report.number > holder.report {
-            holder.report = report.number;
+        if report.number > holder.last_report {
+            holder.last_report = report.number;
             holder.demands.clone_from(&report.demands);
         }
         let received = report.received;
         holder.dirty_slots.retain(|_, first| *first > received);
         holder.dirty_units.retain(|_, first| *first > received);
-        holder.dirty_hosts.retain(|_, first| *first > received);
+        holder.dirty_upstreams.retain(|_, first| *first > received);
     }
 
     /// Returns the allotment for `to` that answers `report`.
@@ -159,36 +166,36 @@
     ) -> wire::Allotment {
         let holder = self.holders.get_mut(&to).expect("known holder");
         holder.sent_at = holder.sent_at.max(report.sent_at);
-        holder.heard = now;
+        holder.last_heard = now;
         self.build_allotment(to, report.number)
     }
 
     /// Returns an allotment of all changes that the holder has not acknowledged yet.
     pub(super) fn build_allotment(&mut self, to: InstanceId, answers: u64) -> wire::Allotment {
         let holder = self.holders.get_mut(&to).expect("known holder");
-        holder.number += 1;
+        holder.last_allotment += 1;
         holder.urgent = false;
         let recall = |(name, units): (String, u64)| wire::Recall { name, units };
-        let hosts = &self.hosts;
+        let upstreams = &self.upstreams;
         let units = &self.units;
         wire::Allotment {
             zone: self.zone.clone(),
             epoch: holder.epoch,
             sent_at: holder.sent_at,
-            number: holder.number,
+            number: holder.last_allotment,
             answers,
             upstreams: holder
-                .dirty_hosts
+                .dirty_upstreams
                 .keys()
-                .filter_map(|cell| hosts.get(cell))
-                .map(Host::info)
+                .filter_map(|resource| upstreams.get(resource))
+                .map(Upstream::info)
                 .collect(),
             slots: holder
                 .dirty_slots
                 .keys()
-                .filter_map(|&cell| {
-                    let account = hosts.get(&cell)?.issuer().account(to);
-                    Some(balance(cell, account.given, account.returned))
+                .filter_map(|&resource| {
+                    let account = upstreams.get(&resource)?.issuer().account(to);
+                    Some(balance(resource, account.given, account.returned))
                 })
                 .collect(),
             units: holder
--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -47,26 +47,29 @@
         remote: bool,
     ) -> UpstreamKey {
         let service = self.put_service(&announcement.service, DEFAULT_QUEUE_LIMIT);
-        let cell = cell_of(&announcement);
-        if let Some(&key) = self.cells.get(&cell) {
-            let upstream = self.upstreams.get_mut(&key).expect("cell of an upstream");
+        let resource = cell_of(&announcement);
+        if let Some(&key) = self.resources.get(&resource) {
+            let upstream = self
+                .upstreams
+                .get_mut(&key)
+                .expect("resource of an upstream");
             upstream.announcement = announcement;
             return key;
         }
         let key = UpstreamKey(self.next_upstream);
         self.next_upstream += 1;
         let mut upstream = Upstream::new(announcement, service, source, remote);
-        if let Some((_, account)) = self.retired.remove(&cell) {
+        if let Some((_, account)) = self.retired.remove(&resource) {
             upstream.holding = Holding::resumed(account);
         }
-        self.cells.insert(cell, key);
+        self.resources.insert(resource, key);
         self.upstreams.insert(key, upstream);
         key
     }
 
     /// Sets whether an upstream is leaving. A leaving one is sent no new requests.
-    pub fn set_leaving(&mut self, cell: Cell, leaving: bool) {
-        if let Some(&key) = self.cells.get(&cell) {
+    pub fn set_leaving(&mut self, resource: Cell, leaving: bool) {
+        if let Some(&key) = self.resources.get(&resource) {
             if let Some(upstream) = self.upstreams.get_mut(&key) {
                 upstream.leaving = leaving;
             }
@@ -89,17 +92,17 @@
             let mut upstream = self.upstreams.remove(&key).expect("known key");
             let service = &mut self.services[upstream.service.0 as usize];
             service.index.remove(&mut upstream);
-            self.cells.remove(&upstream.cell());
+            self.resources.remove(&upstream.resource());
             self.retired.insert(
-                upstream.cell(),
+                upstream.resource(),
                 (upstream.source, upstream.holding.account()),
             );
         }
     }
 
     /// Records the total of slots of an upstream given since its account was opened.
-    pub fn receive_slots(&mut self, cell: Cell, given: u64) {
-        let Some(&key) = self.cells.get(&cell) else {
+    pub fn receive_slots(&mut self, resource: Cell, given: u64) {
+        let Some(&key) = self.resources.get(&resource) else {
             return;
         };
         self.change_holding(key, |holding| holding.receive(given));
@@ -107,12 +110,12 @@
 
     /// Records the totals of team units given since their accounts were opened.
     pub fn receive_unit_balances(&mut self, balances: &[Balance]) {
-        let by_cell: HashMap<u64, u64> = balances.iter().map(|b| (b.cell, b.given)).collect();
-        if by_cell.is_empty() {
+        let by_resource: HashMap<u64, u64> = balances.iter().map(|b| (b.cell, b.given)).collect();
+        if by_resource.is_empty() {
             return;
         }
         for team in &mut self.teams {
-            if let Some(&given) = by_cell.get(&team.cell.0) {
+            if let Some(&given) = by_resource.get(&team.resource.0) {
                 team.holding.receive(given);
             }
         }
@@ -120,8 +123,9 @@
         for balance in balances {
             self.pending_units.insert(Cell(balance.cell), balance.given);
         }
-        let known: BTreeSet<Cell> = self.teams.iter().map(|t| t.cell).collect();
-        self.pending_units.retain(|cell, _| !known.contains(cell));
+        let known: BTreeSet<Cell> = self.teams.iter().map(|t| t.resource).collect();
+        self.pending_units
+            .retain(|resource, _| !known.contains(resource));
     }
 
     /// Reopens all slot accounts of `source` and returns the opening balances. Idle
@@ -135,7 +139,7 @@
             self.change_holding(key, |h| *h = reopened(*h, keep));
             let upstream = &self.upstreams[&key];
             if upstream.holding.allowed() > 0 {
-                opening.push((upstream.cell(), upstream.holding.allowed()));
+                opening.push((upstream.resource(), upstream.holding.allowed()));
             }
         }
         opening
@@ -149,7 +153,7 @@
         for team in &mut self.teams {
             team.holding = reopened(team.holding, keep);
             if team.holding.allowed() > 0 {
-                opening.push((team.cell, team.holding.allowed()));
+                opening.push((team.resource, team.holding.allowed()));
             }
         }
         opening
@@ -198,8 +202,8 @@
     }
 
     /// Returns all idle slots of one upstream.
-    pub fn return_upstream(&mut self, cell: Cell) {
-        if let Some(&key) = self.cells.get(&cell) {
+    pub fn return_upstream(&mut self, resource: Cell) {
+        if let Some(&key) = self.resources.get(&resource) {
             self.change_holding(key, |h| {
                 h.give_back(u64::MAX);
             });
@@ -229,7 +233,7 @@
         self.upstreams
             .values()
             .filter(|u| u.source == source)
-            .map(|u| (u.cell(), u.holding.account()))
+            .map(|u| (u.resource(), u.holding.account()))
             .collect()
     }
 
@@ -237,7 +241,7 @@
     pub fn unit_accounts(&self) -> Vec<(Cell, Account)> {
         self.teams
             .iter()
-            .map(|t| (t.cell, t.holding.account()))
+            .map(|t| (t.resource, t.holding.account()))
             .collect()
     }
 }
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct Team {
     name: String,
-    cell: Cell,
+    resource: Cell,
     share: u32,
     holding: Holding,
     completed: u64,
@@ -59,7 +59,7 @@
     services: Vec<Service>,
     service_names: HashMap<String, ServiceKey>,
     upstreams: BTreeMap<UpstreamKey, Upstream>,
-    cells: HashMap<Cell, UpstreamKey>,
+    resources: HashMap<Cell, UpstreamKey>,
     /// Accounts of removed upstreams.
     retired: HashMap<Cell, (SourceKey, Account)>,
     /// Units given to teams that have not been added yet.
@@ -84,14 +84,14 @@
             return key;
         }
         let key = TeamKey(u32::try_from(self.teams.len()).expect("fewer than 2^32 teams"));
-        let cell = crate::util::cell_named(name);
+        let resource = crate::util::cell_named(name);
         let mut holding = Holding::default();
-        if let Some(given) = self.pending_units.remove(&cell) {
+        if let Some(given) = self.pending_units.remove(&resource) {
             holding.receive(given);
         }
         self.teams.push(Team {
             name: name.to_owned(),
-            cell,
+            resource,
             share,
             holding,
             completed: 0,
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -41,7 +41,7 @@
 pub struct Upstream {
     /// Latest announcement.
     pub announcement: Announcement,
-    cell: Cell,
+    resource: Cell,
     /// Key of the service that it provides.
     pub service: ServiceKey,
     /// Zone whose leader allots its slots.
@@ -82,7 +82,7 @@
         remote: bool,
     ) -> Self {
         Self {
-            cell: cell_of(&announcement),
+            resource: cell_of(&announcement),
             announcement,
             service,
             source,
@@ -96,8 +96,8 @@
     }
 
     /// Returns the identifier under which its slots are allotted.
-    pub const fn cell(&self) -> Cell {
-        self.cell
+    pub const fn resource(&self) -> Cell {
+        self.resource
     }
 
     /// Records a failed exchange and suspends the upstream, with exponential backoff.
--- a/tests/allocator.rs
+++ b/tests/allocator.rs
@@ -7,11 +7,11 @@
 use plantaincross::core::time::Moment;
 use plantaincross::wire::{Demand, Report};
 
-const NEAR: InstanceId = InstanceId(1);
-const FAR: InstanceId = InstanceId(2);
+const LOCAL: InstanceId = InstanceId(1);
+const REMOTE: InstanceId = InstanceId(2);
 
 /// Returns the allocator of zone a, which holds four units of one team's limit.
-fn leader() -> Allocator {
+fn allocator_of_zone_a() -> Allocator {
     let run_limit = Duration::from_secs(30);
     let mut allocator = Allocator::new("a".into(), 1, true, Moment::ZERO, run_limit);
     allocator.set_units("big", 1, 4, 0);
@@ -51,7 +51,7 @@
     ($($name:ident: $reports:expr => $expected:expr;)*) => {
         $(#[test]
         fn $name() {
-            let mut allocator = leader();
+            let mut allocator = allocator_of_zone_a();
             for (from, zone, waiting, leaving) in $reports {
                 report(&mut allocator, from, zone, waiting, leaving);
             }
@@ -61,22 +61,22 @@
 }
 
 demands! {
-    instances_of_the_zone_demand_its_units: [(NEAR, "a", 6, false)] => 6;
+    instances_of_the_zone_demand_its_units: [(LOCAL, "a", 6, false)] => 6;
     // The leader of the other zone gets the same demand reported. If both zones counted
     // it, this one would hold units that no entry instance could use.
-    borrowers_of_slots_demand_no_units_here: [(NEAR, "a", 6, false), (FAR, "b", 24, false)] => 6;
-    leaving_instances_demand_nothing: [(NEAR, "a", 6, true)] => 0;
+    instances_of_other_zones_demand_no_units: [(LOCAL, "a", 6, false), (REMOTE, "b", 24, false)] => 6;
+    leaving_instances_demand_nothing: [(LOCAL, "a", 6, true)] => 0;
 }
 
 #[test]
-fn units_go_to_instances_of_the_zone_alone() {
-    let mut allocator = leader();
-    report(&mut allocator, FAR, "b", 24, false);
-    report(&mut allocator, NEAR, "a", 6, false);
+fn units_go_only_to_instances_of_the_zone() {
+    let mut allocator = allocator_of_zone_a();
+    report(&mut allocator, REMOTE, "b", 24, false);
+    report(&mut allocator, LOCAL, "a", 6, false);
     let given: Vec<(InstanceId, u64)> = allocator
         .tick(Moment::ZERO)
         .into_iter()
         .flat_map(|(to, allotment)| allotment.units.into_iter().map(move |u| (to, u.given)))
         .collect();
-    assert_eq!(given, [(NEAR, 4)]);
+    assert_eq!(given, [(LOCAL, 4)]);
 }
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -20,16 +20,16 @@
 
 const START: Moment = Moment::from_millis(1_000_000);
 /// Queue depth that stands for a team sending one request every ten milliseconds.
-const ONE_IN_TEN_MS: usize = usize::MAX;
+const ONE_PER_10_MS: usize = usize::MAX;
 const MS: Duration = Duration::from_millis(1);
 
-struct Bench {
+struct Harness {
     gate: Gate,
     service: ServiceKey,
     teams: Vec<TeamKey>,
 }
 
-impl Bench {
+impl Harness {
     fn new(shares: &[u32], upstreams: u16, slots: u32) -> Self {
         let mut gate = Gate::new();
         let source = SourceKey(0);
@@ -83,28 +83,28 @@
 
     /// Keeps `depth` requests of each team waiting for `steps` of 1 ms, with a service
     /// time of `service`, and returns the completed requests by team.
-    fn saturate(&mut self, depth: &[usize], service: Duration, steps: u32) -> Vec<u64> {
+    fn run_saturated(&mut self, depth: &[usize], service: Duration, steps: u32) -> Vec<u64> {
         let mut running: Vec<(Moment, Assignment, usize)> = Vec::new();
         let mut waiting: BTreeMap<Ticket, usize> = BTreeMap::new();
         let mut counts = vec![0usize; depth.len()];
-        let mut done = vec![0; depth.len()];
+        let mut completed = vec![0; depth.len()];
         for step in 0..steps {
             let now = START + MS * step;
             let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| r.0 <= now);
             running = rest;
             for (_, assignment, team) in ended {
                 self.gate.finish(now, assignment, Exchange::Answered);
-                done[team] += 1;
+                completed[team] += 1;
             }
             for team in 0..depth.len() {
-                let is_open = depth[team] == ONE_IN_TEN_MS;
-                let mut due = if is_open {
+                let is_paced = depth[team] == ONE_PER_10_MS;
+                let mut to_send = if is_paced {
                     usize::from(step % 10 == 0)
                 } else {
                     usize::MAX
                 };
-                while due > 0 && counts[team] < depth[team] {
-                    due -= 1;
+                while to_send > 0 && counts[team] < depth[team] {
+                    to_send -= 1;
                     match self.submit(now, team, 1, Duration::from_secs(3_600)) {
                         Admission::Start(a) => running.push((now + service, a, team)),
                         Admission::Wait { ticket, .. } => {
@@ -121,12 +121,12 @@
                 running.push((now + service, assignment, team));
             }
         }
-        done
+        completed
     }
 }
 
-fn near(got: u64, due: f64) -> bool {
-    (got as f64 - due).abs() <= due * 0.05
+fn is_close(got: u64, expected: f64) -> bool {
+    (got as f64 - expected).abs() <= expected * 0.05
 }
 
 macro_rules! cases {
@@ -135,54 +135,54 @@
 
 cases! {
     fn teams_get_their_shares_of_full_slots() {
-        let mut bench = Bench::new(&[3, 1, 1], 4, 8);
-        let done = bench.saturate(&[50, 50, 50], MS * 20, 4_000);
-        let total: u64 = done.iter().sum();
+        let mut harness = Harness::new(&[3, 1, 1], 4, 8);
+        let completed = harness.run_saturated(&[50, 50, 50], MS * 20, 4_000);
+        let total: u64 = completed.iter().sum();
         assert!(total as f64 > 32.0 * 4_000.0 / 20.0 * 0.95, "{total}");
-        for (got, part) in done.iter().zip([0.6, 0.2, 0.2]) {
-            assert!(near(*got, total as f64 * part), "{done:?}");
+        for (got, part) in completed.iter().zip([0.6, 0.2, 0.2]) {
+            assert!(is_close(*got, total as f64 * part), "{completed:?}");
         }
     }
 
-    fn two_floods_leave_a_small_team_its_demand() {
-        let mut bench = Bench::new(&[1, 1, 1], 2, 8);
+    fn two_saturating_teams_leave_a_small_team_its_demand() {
+        let mut harness = Harness::new(&[1, 1, 1], 2, 8);
         // 16 slots of 20 ms serve 800 requests per second; the small team sends 100.
-        let done = bench.saturate(&[500, 500, ONE_IN_TEN_MS], MS * 20, 4_000);
-        let total: u64 = done.iter().sum();
-        assert!(near(done[2], 400.0), "{done:?}");
-        assert!(near(done[0], (total - done[2]) as f64 / 2.0), "{done:?}");
+        let completed = harness.run_saturated(&[500, 500, ONE_PER_10_MS], MS * 20, 4_000);
+        let total: u64 = completed.iter().sum();
+        assert!(is_close(completed[2], 400.0), "{completed:?}");
+        assert!(is_close(completed[0], (total - completed[2]) as f64 / 2.0), "{completed:?}");
     }
 
-    fn a_team_that_comes_back_claims_nothing_for_its_absence() {
-        let mut bench = Bench::new(&[1, 1], 2, 8);
-        bench.saturate(&[50, 0], MS * 20, 2_000);
-        let done = bench.saturate(&[50, 50], MS * 20, 2_000);
-        assert!(near(done[0], done.iter().sum::<u64>() as f64 / 2.0), "{done:?}");
+    fn idle_time_earns_a_team_no_credit() {
+        let mut harness = Harness::new(&[1, 1], 2, 8);
+        harness.run_saturated(&[50, 0], MS * 20, 2_000);
+        let completed = harness.run_saturated(&[50, 50], MS * 20, 2_000);
+        assert!(is_close(completed[0], completed.iter().sum::<u64>() as f64 / 2.0), "{completed:?}");
     }
 
-    fn most_worth_first_within_a_team() {
-        let mut bench = Bench::new(&[1], 1, 1);
-        let Admission::Start(first) = bench.submit(START, 0, 1, MS * 60_000) else {
+    fn a_team_starts_requests_in_order_of_worth() {
+        let mut harness = Harness::new(&[1], 1, 1);
+        let Admission::Start(first) = harness.submit(START, 0, 1, MS * 60_000) else {
             panic!("starts");
         };
         let mut tickets = Vec::new();
         for worth in [2, 9, 5] {
-            let Admission::Wait { ticket, .. } = bench.submit(START, 0, worth, MS * 60_000) else {
+            let Admission::Wait { ticket, .. } = harness.submit(START, 0, worth, MS * 60_000) else {
                 panic!("waits");
             };
             tickets.push(ticket);
         }
-        bench.gate.finish(START, first, Exchange::Unsent);
+        harness.gate.finish(START, first, Exchange::Unsent);
         let mut order = Vec::new();
-        while let Some((ticket, assignment)) = bench.gate.start_next(START, bench.service) {
+        while let Some((ticket, assignment)) = harness.gate.start_next(START, harness.service) {
             order.push(tickets.iter().position(|t| *t == ticket).expect("known"));
-            bench.gate.finish(START, assignment, Exchange::Unsent);
+            harness.gate.finish(START, assignment, Exchange::Unsent);
         }
         assert_eq!(order, [1, 2, 0]);
     }
 
-    fn worth_under_twofold_overload_stays_near_what_capacity_allows() {
-        let mut bench = Bench::new(&[1], 1, 8);
+    fn worth_under_twofold_overload_stays_near_the_upper_bound() {
+        let mut harness = Harness::new(&[1], 1, 8);
         let mut rng = ChaCha8Rng::seed_from_u64(5);
         let service = MS * 40;
         let mut running: Vec<(Moment, Moment, Assignment, u64)> = Vec::new();
@@ -195,24 +195,24 @@
             let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| r.0 <= now);
             running = rest;
             for (end, deadline, assignment, worth) in ended {
-                bench.gate.finish(now, assignment, Exchange::Answered);
+                harness.gate.finish(now, assignment, Exchange::Answered);
                 gained += if end <= deadline { worth } else { 0 };
             }
-            for ticket in bench.gate.expire(now) {
+            for ticket in harness.gate.expire(now) {
                 waiting.remove(&ticket);
             }
             if rng.random_ratio(2, 5) {
                 let worth = rng.random_range(1..100);
                 let deadline = now + MS * rng.random_range(60..1_000);
                 offered.push(worth);
-                let request = Request { team: bench.teams[0], service: bench.service, worth, deadline };
-                match bench.gate.submit(now, request) {
+                let request = Request { team: harness.teams[0], service: harness.service, worth, deadline };
+                match harness.gate.submit(now, request) {
                     Admission::Start(a) => running.push((now + service, deadline, a, worth)),
                     Admission::Wait { ticket, .. } => { waiting.insert(ticket, (deadline, worth)); }
                     Admission::Refuse(_) => {}
                 }
             }
-            for (ticket, assignment) in bench.gate.pump(now) {
+            for (ticket, assignment) in harness.gate.pump(now) {
                 let (deadline, worth) = waiting.remove(&ticket).expect("waits");
                 running.push((now + service, deadline, assignment, worth));
             }
@@ -223,29 +223,29 @@
         assert!(gained * 100 >= best * 90, "{gained} of {best}");
     }
 
-    fn what_cannot_meet_its_deadline_is_refused_early() {
-        let mut bench = Bench::new(&[1], 1, 1);
-        bench.saturate(&[3], MS * 100, 1_000);
+    fn request_that_cannot_meet_its_deadline_is_refused() {
+        let mut harness = Harness::new(&[1], 1, 1);
+        harness.run_saturated(&[3], MS * 100, 1_000);
         let now = START + MS * 1_000;
-        let admission = bench.submit(now, 0, 0, MS * 150);
+        let admission = harness.submit(now, 0, 0, MS * 150);
         assert!(matches!(admission, Admission::Refuse(r) if r.kind == Kind::DeadlineUnmeetable), "{admission:?}");
     }
 
     fn expired_allotment_starts_nothing() {
-        let mut bench = Bench::new(&[1], 1, 4);
+        let mut harness = Harness::new(&[1], 1, 4);
         let mut gate = Gate::new();
-        std::mem::swap(&mut gate, &mut bench.gate);
+        std::mem::swap(&mut gate, &mut harness.gate);
         // The harness never lets its source expire, so a second one with a lease of 1 ms
         // allots the team's units.
         let source = SourceKey(1);
         gate.set_team_source(source);
         gate.renew(source, START + MS);
-        bench.gate = gate;
-        assert!(matches!(bench.submit(START, 0, 1, MS * 900), Admission::Start(_)));
-        assert!(matches!(bench.submit(START + MS, 0, 1, MS * 900), Admission::Wait { .. }));
+        harness.gate = gate;
+        assert!(matches!(harness.submit(START, 0, 1, MS * 900), Admission::Start(_)));
+        assert!(matches!(harness.submit(START + MS, 0, 1, MS * 900), Admission::Wait { .. }));
     }
 
-    fn retries_stay_a_tenth_of_successes_when_most_exchanges_fail() {
+    fn retries_stay_within_a_tenth_of_successes_when_most_exchanges_fail() {
         let mut budget = Budget::default();
         let mut rng = ChaCha8Rng::seed_from_u64(9);
         let (mut retries, mut successes) = (0u32, 0u32);
@@ -273,20 +273,20 @@
         }
     }
 
-    fn full_queue_keeps_the_more_worthy() {
-        let mut bench = Bench::new(&[1], 1, 1);
-        bench.gate.put_service("s", 2);
+    fn full_queue_displaces_requests_of_less_worth() {
+        let mut harness = Harness::new(&[1], 1, 1);
+        harness.gate.put_service("s", 2);
         for worth in [5, 6, 7] {
-            bench.submit(START, 0, worth, MS * 60_000);
+            harness.submit(START, 0, worth, MS * 60_000);
         }
-        let low = bench.submit(START, 0, 1, MS * 60_000);
+        let low = harness.submit(START, 0, 1, MS * 60_000);
         assert!(matches!(low, Admission::Refuse(r) if r.kind == Kind::Overloaded));
-        let high = bench.submit(START, 0, 9, MS * 60_000);
+        let high = harness.submit(START, 0, 9, MS * 60_000);
         assert!(matches!(high, Admission::Wait { displaced: Some(_), .. }), "{high:?}");
     }
 }
 
-const KEEP: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 const OWNER: InstanceId = InstanceId(1);
 
 fn answer(body: &str) -> Answer {
@@ -301,7 +301,7 @@
     fn claim_is_granted_once_and_then_repeats_the_answer() {
         let mut table = Table::default();
         let id = Id::of("t", "1");
-        let claim = |table: &mut Table, body| table.claim(START, id, body, OWNER, None, KEEP);
+        let claim = |table: &mut Table, body| table.claim(START, id, body, OWNER, None, RETENTION);
         assert_eq!(claim(&mut table, 7), Verdict::Granted);
         assert_eq!(claim(&mut table, 7), Verdict::Refused(Kind::InProgress));
         assert_eq!(claim(&mut table, 8), Verdict::Refused(Kind::IdReused));
@@ -311,11 +311,11 @@
         assert_eq!(claim(&mut table, 7), Verdict::Repeat(answer("a")));
     }
 
-    fn lost_memory_refuses_ids_that_may_have_run() {
+    fn table_without_history_refuses_ids_that_may_have_run() {
         let mut table = Table::default();
         table.lose_memory(START);
         let mut claim = |now, request, minted| {
-            table.claim(now, Id::of("t", request), 1, OWNER, minted, KEEP)
+            table.claim(now, Id::of("t", request), 1, OWNER, minted, RETENTION)
         };
         let later = START + Duration::from_secs(10);
         assert_eq!(claim(later, "chosen", None), Verdict::Refused(Kind::ClaimUnknown));
@@ -323,12 +323,12 @@
         assert_eq!(claim(later, "old", old), Verdict::Refused(Kind::ClaimUnknown));
         let young = Some(Duration::from_secs(9));
         assert_eq!(claim(later, "young", young), Verdict::Granted);
-        assert_eq!(claim(START + KEEP, "chosen", None), Verdict::Granted);
+        assert_eq!(claim(START + RETENTION, "chosen", None), Verdict::Granted);
     }
 
     fn minted_id_older_than_the_retention_never_runs() {
         let mut table = Table::default();
-        let verdict = table.claim(START, Id::of("t", "1"), 1, OWNER, Some(KEEP), KEEP);
+        let verdict = table.claim(START, Id::of("t", "1"), 1, OWNER, Some(RETENTION), RETENTION);
         assert_eq!(verdict, Verdict::Refused(Kind::ClaimUnknown));
     }
 
@@ -338,7 +338,7 @@
         let record = |state| Record { id, body: 1, owner: OWNER, age: Duration::ZERO, state };
         table.merge(START, vec![record(State::Answered(Some(answer("a"))))]);
         table.merge(START, vec![record(State::Running)]);
-        let verdict = table.claim(START, id, 1, InstanceId(2), None, KEEP);
+        let verdict = table.claim(START, id, 1, InstanceId(2), None, RETENTION);
         assert_eq!(verdict, Verdict::Repeat(answer("a")));
     }
 }
