--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -39,7 +39,9 @@
     issuer: Issuer<InstanceId>,
     share: u32,
     returned: u64,
+    /// Units recalled by the pool of the root group that the zone has yet to return.
     recalled: u64,
+    /// Units that tasks could use now.
     task_demand: u64,
 }
 
@@ -54,11 +56,14 @@
     last_allotment: u64,
     last_report: u64,
     demands: Vec<wire::Demand>,
+    /// Slots, units and upstreams with changes that the holder has not acknowledged, each
+    /// with the number of the first allotment that carries its change.
     dirty_slots: BTreeMap<Cell, u64>,
     dirty_units: BTreeMap<String, u64>,
     dirty_upstreams: BTreeMap<Cell, u64>,
     recall_slots: BTreeMap<String, u64>,
     recall_units: BTreeMap<String, u64>,
+    /// Whether an allotment is to be sent before the next report.
     urgent: bool,
     sent_at: u64,
 }
@@ -92,6 +97,7 @@
     run_limit: Duration,
     upstreams: BTreeMap<Cell, Upstream>,
     resources_by_name: BTreeMap<String, Cell>,
+    /// Accounts of upstreams that were removed or have not announced themselves yet.
     retired: BTreeMap<Cell, Issuer<InstanceId>>,
     units: BTreeMap<String, Units>,
     teams_by_resource: BTreeMap<Cell, String>,
