--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -308,25 +308,25 @@
     /// The team was charged the estimated service time at the start. An answered
     /// exchange is charged what it took beyond the present estimate, a failed one its
     /// whole time in addition, and an unsent one nothing more.
-    pub fn finish(&mut self, now: Moment, assignment: Assignment, exchange: Exchange) {
+    pub fn finish(&mut self, now: Moment, assignment: Assignment, completion: Exchange) {
         let took = now.since(assignment.at);
         let team = &mut self.teams[assignment.team.0 as usize];
         team.holding.put();
         let share = team.share;
-        if exchange != Exchange::Unsent {
+        if completion != Exchange::Unsent {
             team.slot_time += took;
         }
-        if exchange == Exchange::Answered {
+        if completion == Exchange::Answered {
             team.completed += 1;
         }
-        self.settle_upstream(now, assignment.upstream, exchange);
+        self.settle_upstream(now, assignment.upstream, completion);
         let service = &mut self.services[assignment.service.0 as usize];
         if let Some(running) = service.running.get_mut(&assignment.team) {
             *running = running.saturating_sub(1);
         }
         service.running.retain(|_, running| *running > 0);
         let queue = &mut service.queue;
-        match exchange {
+        match completion {
             Exchange::Answered => {
                 let expected = queue.estimate(now);
                 queue.charge(assignment.team, took.saturating_sub(expected), share);
@@ -337,12 +337,12 @@
         }
     }
 
-    fn settle_upstream(&mut self, now: Moment, key: UpstreamKey, exchange: Exchange) {
+    fn settle_upstream(&mut self, now: Moment, key: UpstreamKey, completion: Exchange) {
         let Some(upstream) = self.upstreams.get_mut(&key) else {
             return;
         };
         upstream.holding.put();
-        match exchange {
+        match completion {
             Exchange::Answered => upstream.record_success(),
             Exchange::Failed => upstream.record_failure(now),
             Exchange::Unsent => {}
