--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Returns all idle slots to the leader of `source`. The result is whether any slots were held
-    /// before.
+    /// Returns all idle slots to the leader of `source`. The result is whether any slots
+    /// were held before.
     pub fn return_source(&mut self, source: SourceKey) -> bool {
         let mut held = false;
         for key in self.upstreams_of(source) {
