--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -1,4 +1,4 @@
-//! What zone leaders have allotted to this entry instance.
+//! Slots and units that zone leaders have allotted to this entry instance.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,7 +10,8 @@
 use crate::wire::Balance;
 
 impl Gate {
-    /// Sets until when what `source` has allotted may be used.
+    /// Extends the lease on what `source` has allotted to `until`. A time before its
+    /// present expiry is ignored.
     pub fn renew(&mut self, source: SourceKey, until: Moment) {
         let at = usize::from(source.0);
         if self.expiries.len() <= at {
@@ -20,12 +21,12 @@
             return;
         }
         self.expiries[at] = until;
-        for key in self.keys_of(source) {
-            self.refresh(key);
+        for key in self.upstreams_of(source) {
+            self.refresh_index(key);
         }
     }
 
-    /// Returns until when what `source` has allotted may be used.
+    /// Returns when the lease on what `source` has allotted expires.
     pub fn expiry(&self, source: SourceKey) -> Moment {
         self.expiries
             .get(usize::from(source.0))
@@ -33,12 +34,12 @@
             .unwrap_or_default()
     }
 
-    /// Sets which source the team units come from.
+    /// Sets the zone whose leader allots the units of team limits.
     pub const fn set_team_source(&mut self, source: SourceKey) {
         self.team_source = source;
     }
 
-    /// Adds an upstream or takes its new announcement.
+    /// Adds an upstream, or updates the announcement of a known one.
     pub fn put_upstream(
         &mut self,
         announcement: Announcement,
@@ -46,37 +47,40 @@
         remote: bool,
     ) -> UpstreamKey {
         let service = self.put_service(&announcement.service, DEFAULT_QUEUE_LIMIT);
-        let cell = cell_of(&announcement);
-        if let Some(&key) = self.cells.get(&cell) {
-            let upstream = self.upstreams.get_mut(&key).expect("cell of an upstream");
+        let resource = cell_of(&announcement);
+        if let Some(&key) = self.resources.get(&resource) {
+            let upstream = self
+                .upstreams
+                .get_mut(&key)
+                .expect("resource of an upstream");
             upstream.announcement = announcement;
             return key;
         }
         let key = UpstreamKey(self.next_upstream);
         self.next_upstream += 1;
         let mut upstream = Upstream::new(announcement, service, source, remote);
-        if let Some((_, account)) = self.retired.remove(&cell) {
+        if let Some((_, account)) = self.retired.remove(&resource) {
             upstream.holding = Holding::resumed(account);
         }
-        self.cells.insert(cell, key);
+        self.resources.insert(resource, key);
         self.upstreams.insert(key, upstream);
         key
     }
 
-    /// Marks an upstream as leaving or as staying.
-    pub fn set_leaving(&mut self, cell: Cell, leaving: bool) {
-        if let Some(&key) = self.cells.get(&cell) {
+    /// Sets whether an upstream is leaving. A leaving one is sent no new requests.
+    pub fn set_leaving(&mut self, resource: Cell, leaving: bool) {
+        if let Some(&key) = self.resources.get(&resource) {
             if let Some(upstream) = self.upstreams.get_mut(&key) {
                 upstream.leaving = leaving;
             }
-            self.refresh(key);
+            self.refresh_index(key);
         }
     }
 
-    /// Forgets upstreams that take nothing new and of which nothing is held.
+    /// Removes leaving upstreams of which no slots are held or in use.
     ///
-    /// Their counters are kept for the epoch, since the issuer goes on from them if
-    /// the same incarnation comes back.
+    /// Their counters are kept until the accounts are reopened, since the issuer
+    /// continues from them if the same incarnation returns.
     pub fn sweep(&mut self) {
         let idle: Vec<UpstreamKey> = self
             .upstreams
@@ -87,73 +91,75 @@
         for key in idle {
             let mut upstream = self.upstreams.remove(&key).expect("known key");
             let service = &mut self.services[upstream.service.0 as usize];
-            service.index.drop_entry(&mut upstream);
-            self.cells.remove(&upstream.cell());
+            service.index.remove(&mut upstream);
+            self.resources.remove(&upstream.resource());
             self.retired.insert(
-                upstream.cell(),
+                upstream.resource(),
                 (upstream.source, upstream.holding.account()),
             );
         }
     }
 
-    /// Records how many slots of an upstream have been given in all.
-    pub fn receive_slots(&mut self, cell: Cell, given: u64) {
-        let Some(&key) = self.cells.get(&cell) else {
+    /// Records the total of slots of an upstream given since its account was opened.
+    pub fn receive_slots(&mut self, resource: Cell, given: u64) {
+        let Some(&key) = self.resources.get(&resource) else {
             return;
         };
         self.change_holding(key, |holding| holding.receive(given));
     }
 
-    /// Records the given counters of team units.
+    /// Records the totals of team units given since their accounts were opened.
     pub fn receive_unit_balances(&mut self, balances: &[Balance]) {
-        let by_cell: HashMap<u64, u64> = balances.iter().map(|b| (b.cell, b.given)).collect();
-        if by_cell.is_empty() {
+        let by_resource: HashMap<u64, u64> = balances.iter().map(|b| (b.cell, b.given)).collect();
+        if by_resource.is_empty() {
             return;
         }
         for team in &mut self.teams {
-            if let Some(&given) = by_cell.get(&team.cell.0) {
+            if let Some(&given) = by_resource.get(&team.resource.0) {
                 team.holding.receive(given);
             }
         }
-        // The configuration that names the team may still be on its way.
+        // Balances may arrive before the configuration that adds their team.
         for balance in balances {
-            self.early_units.insert(Cell(balance.cell), balance.given);
+            self.pending_units.insert(Cell(balance.cell), balance.given);
         }
-        let known: BTreeSet<Cell> = self.teams.iter().map(|t| t.cell).collect();
-        self.early_units.retain(|cell, _| !known.contains(cell));
+        let known: BTreeSet<Cell> = self.teams.iter().map(|t| t.resource).collect();
+        self.pending_units
+            .retain(|resource, _| !known.contains(resource));
     }
 
-    /// Closes all slot accounts of `source` and opens them anew; yields the opening
-    /// balances. Idle slots are kept only while the allotment has not expired.
+    /// Reopens all slot accounts of `source` and returns the opening balances. Idle
+    /// slots are kept only if the allotment has not expired, since another entry
+    /// instance may hold them after that; slots in use are always kept.
     pub fn reopen_slots(&mut self, now: Moment, source: SourceKey) -> Vec<(Cell, u64)> {
         let keep = now < self.expiry(source);
         self.retired.retain(|_, (of, _)| *of != source);
         let mut opening = Vec::new();
-        for key in self.keys_of(source) {
+        for key in self.upstreams_of(source) {
             self.change_holding(key, |h| *h = reopened(*h, keep));
             let upstream = &self.upstreams[&key];
             if upstream.holding.allowed() > 0 {
-                opening.push((upstream.cell(), upstream.holding.allowed()));
+                opening.push((upstream.resource(), upstream.holding.allowed()));
             }
         }
         opening
     }
 
-    /// Does for team units what [`Gate::reopen_slots`] does for slots.
+    /// Reopens all team unit accounts by the rules of [`Gate::reopen_slots`].
     pub fn reopen_units(&mut self, now: Moment) -> Vec<(Cell, u64)> {
         let keep = now < self.expiry(self.team_source);
-        self.early_units.clear();
+        self.pending_units.clear();
         let mut opening = Vec::new();
         for team in &mut self.teams {
             team.holding = reopened(team.holding, keep);
             if team.holding.allowed() > 0 {
-                opening.push((team.cell, team.holding.allowed()));
+                opening.push((team.resource, team.holding.allowed()));
             }
         }
         opening
     }
 
-    pub(super) fn keys_of(&self, source: SourceKey) -> Vec<UpstreamKey> {
+    pub(super) fn upstreams_of(&self, source: SourceKey) -> Vec<UpstreamKey> {
         self.upstreams
             .iter()
             .filter(|(_, u)| u.source == source)
@@ -161,7 +167,7 @@
             .collect()
     }
 
-    /// Returns up to `units` idle slots of a service to `source`.
+    /// Returns up to `units` idle slots of a service to the leader of `source`.
     pub fn return_slots(&mut self, source: SourceKey, service: &str, units: u64) {
         let Some(service) = self.service(service) else {
             return;
@@ -181,22 +187,23 @@
         }
     }
 
-    /// Returns all idle slots of `source`; false once it has lent nothing more.
+    /// Returns all idle slots to the leader of `source`. The result is whether any slots
+    /// were held before.
     pub fn return_source(&mut self, source: SourceKey) -> bool {
-        let mut unsettled = false;
-        for key in self.keys_of(source) {
+        let mut held = false;
+        for key in self.upstreams_of(source) {
             let before = self.upstreams[&key].holding.allowed();
             self.change_holding(key, |h| {
                 h.give_back(u64::MAX);
             });
-            unsettled |= before > 0;
+            held |= before > 0;
         }
-        unsettled
+        held
     }
 
     /// Returns all idle slots of one upstream.
-    pub fn return_upstream(&mut self, cell: Cell) {
-        if let Some(&key) = self.cells.get(&cell) {
+    pub fn return_upstream(&mut self, resource: Cell) {
+        if let Some(&key) = self.resources.get(&resource) {
             self.change_holding(key, |h| {
                 h.give_back(u64::MAX);
             });
@@ -208,7 +215,7 @@
         self.teams[team.0 as usize].holding.give_back(units);
     }
 
-    /// Returns everything idle, before a planned stop.
+    /// Returns all idle slots and units, before a planned shutdown.
     pub fn return_all(&mut self) {
         let keys: Vec<UpstreamKey> = self.upstreams.keys().copied().collect();
         for key in keys {
@@ -226,7 +233,7 @@
         self.upstreams
             .values()
             .filter(|u| u.source == source)
-            .map(|u| (u.cell(), u.holding.account()))
+            .map(|u| (u.resource(), u.holding.account()))
             .collect()
     }
 
@@ -234,7 +241,7 @@
     pub fn unit_accounts(&self) -> Vec<(Cell, Account)> {
         self.teams
             .iter()
-            .map(|t| (t.cell, t.holding.account()))
+            .map(|t| (t.resource, t.holding.account()))
             .collect()
     }
 }
