--- a/src/core/consensus/ballot.rs
+++ b/src/core/consensus/ballot.rs
@@ -1,45 +1,46 @@
-//! What replicas decide in elections, for the log of events.
+//! Election events that a replica reports for the journal.
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// A decision of an election.
+/// An event of an election, as one replica sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ballot {
-    /// This replica asks for votes.
+    /// This replica started a vote or a pre-vote.
     Stood {
-        /// Whether it only asks if it would win.
+        /// Whether this is a pre-vote, which binds no voter.
         pre: bool,
-        /// Term that it wants to lead.
+        /// Term of the election.
         term: u64,
-        /// Last entry of its log.
+        /// Index of the last entry in this replica's log.
         last_index: u64,
     },
-    /// This replica was asked for its vote.
+    /// This replica received a vote request.
     Asked {
-        /// Who asked.
+        /// Replica that sent the request.
         candidate: u64,
-        /// Whether it only asked if it would win.
+        /// Whether the request was for a pre-vote.
         pre: bool,
-        /// Term that it wants to lead.
+        /// Term of the election.
         term: u64,
-        /// Why the vote was refused; absent if it was given.
+        /// Why the vote was refused; `None` if it was granted.
         refused: Option<Doubt>,
     },
 }
 
-/// Why a vote is refused.
+/// Reason for refusing a vote.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum Doubt {
-    /// The leader was heard too lately.
+    /// The leader was heard from within the shortest election timeout.
     HearsLeader,
-    /// The candidate's log lacks entries.
+    /// The candidate's log is less up to date than the voter's.
     Behind,
-    /// It asks for votes itself at the same time, with at least as long a log.
+    /// The voter is a pre-candidate itself and ranks higher, by its last log entry and
+    /// then by its replica number.
     StandsItself,
-    /// The term is over, or the vote of the term is given.
+    /// The term has passed, or the vote in it went to another candidate.
     Voted,
 }
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Votes, candidacy and the change of roles.
+//! Leader election: votes, candidacies and role changes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,10 +12,12 @@
 use crate::core::time::{Moment, with_clock_margin};
 use crate::wire::{Entry, RaftBody, Vote, VoteReply, Yield};
 
-/// Shortest time after which a candidate without a majority stands again: a round of
-/// votes takes this long if each sync of a disk takes 120 ms, thirty times the usual.
+/// Shortest time after which a candidate without a majority starts another election.
+/// A round of votes takes this long if each disk sync takes 120 ms, which is thirty
+/// times the usual.
 const STAND_AGAIN_MIN: Duration = Duration::from_millis(250);
-/// Longest such time. Candidates that split the votes draw different ones.
+/// Longest such time. The range lets candidates that split the vote draw different
+/// times.
 const STAND_AGAIN_MAX: Duration = Duration::from_millis(500);
 
 impl Replica {
@@ -70,11 +72,11 @@
         self.count_votes(now);
     }
 
-    /// Gives up leading in favour of the voter that has most of the log, so that the
-    /// group need not wait for an election timeout. From now on this replica does not
-    /// lead in its term, whatever happens to the message.
+    /// Transfers leadership to the voter with the most complete log, so that the group
+    /// need not wait for an election timeout. This replica steps down at once and does
+    /// not lead again in its term, even if the message to its successor is lost.
     ///
-    /// Source: leadership transfer, Ongaro, section 3.10.
+    /// See "leadership transfer extension" in Ongaro's dissertation, section 3.10.
     pub fn resign(&mut self, now: Moment) {
         let Role::Leader(lead) = &self.role else {
             return;
@@ -94,8 +96,8 @@
         }
     }
 
-    // A late message does no harm: its term is over then, and whoever votes in the next
-    // has no second vote in it.
+    // A delayed message is harmless: by then its term has passed, and a replica that
+    // voted in the next term cannot vote in it again.
     pub(super) fn step_yield(&mut self, now: Moment, from: u64, term: u64) {
         if term == self.hard.term && self.is_voter() && self.is_voting(from) && !self.is_leader() {
             self.contact = Moment::ZERO;
@@ -112,8 +114,8 @@
     }
 
     pub(super) fn step_vote(&mut self, now: Moment, from: u64, term: u64, vote: Vote) {
-        // A replica that hears its leader takes no part, so that one that was cut
-        // off cannot disturb the group.
+        // A replica in contact with its leader ignores vote requests, so that a replica
+        // returning from a partition cannot depose the leader.
         let hears_leader = self.is_leader() || now < self.contact + with_clock_margin(ELECTION_MIN);
         if hears_leader && (self.is_leader() || !vote.yielded) {
             self.note_vote(from, vote, Some(Doubt::HearsLeader));
@@ -129,8 +131,8 @@
         } else {
             term == self.hard.term && (self.hard.vote == 0 || self.hard.vote == from)
         };
-        // Of two that ask at once the one with the higher number goes on. Both would
-        // split the votes of the term.
+        // Of two concurrent pre-candidates with equal logs, the one with the higher
+        // replica number proceeds. If both did, they would split the vote.
         let own = (self.log.last_term(), self.log.last_index(), self.id);
         let is_rival = vote.pre && matches!(self.role, Role::PreCandidate(_));
         let gives_way = (vote.last_term, vote.last_index, from) > own;
@@ -212,7 +214,7 @@
             first_index: next,
         });
         self.leader = Some(self.id);
-        // The entry of the new term lets earlier entries commit.
+        // A leader may only commit entries of earlier terms along with one of its own.
         self.append(Entry {
             term: self.hard.term,
             index: next,
@@ -222,7 +224,7 @@
         self.replicate(now, true);
     }
 
-    // A leader that its group has voted out steps down once that is committed.
+    // A leader that was removed from the group steps down once the change is committed.
     pub(super) fn leave_if_removed(&mut self, now: Moment) {
         if self.commit >= self.voters_index && !self.is_voter() {
             let term = self.hard.term;
--- a/src/core/consensus/follow.rs
+++ b/src/core/consensus/follow.rs
@@ -1,4 +1,4 @@
-//! A follower's or observer's side of replication.
+//! Replication as seen by followers and observers.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::core::time::Moment;
 use crate::wire::{Append, AppendReply, Observe, RaftBody, SnapshotPart, SnapshotReply};
 
-/// Interval at which observers ask to be replicated to.
+/// Interval at which observers request replication.
 const OBSERVE_EVERY: Duration = Duration::from_millis(1_000);
 
 impl Replica {
@@ -20,12 +20,12 @@
         if now.since(self.contact) > ELECTION_MAX {
             self.leader = None;
         }
-        // To all, since a new leader does not know its observers.
+        // Sent to every peer, since a new leader does not know its observers.
         self.send_observe(0);
     }
 
-    // Addressed to replica 0, the driver sends it to every peer; only a leader
-    // takes it.
+    // The driver sends a message addressed to replica 0 to every peer. Only a leader
+    // acts on it.
     pub(super) fn send_observe(&mut self, to: u64) {
         let observe = Observe {
             last_index: self.log.last_index(),
@@ -102,7 +102,9 @@
         self.refresh_voters();
     }
 
-    // Skips back over all entries of the conflicting term at once.
+    // Returns the index from which the leader should retry. It skips all entries whose
+    // term is later than the leader's at `prev_index`, instead of one entry per round
+    // trip.
     pub(super) fn mismatch_hint(&self, prev_index: u64, prev_term: u64) -> u64 {
         let mut hint = self.log.last_index().min(prev_index.saturating_sub(1));
         while hint > self.commit && self.log.term_at(hint).is_some_and(|term| term > prev_term) {
--- a/src/core/consensus/log.rs
+++ b/src/core/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log in memory.
+//! In-memory copy of the replicated log.
 
 use std::collections::VecDeque;
 
@@ -6,20 +6,20 @@
 
 use crate::wire::{Entry, Voter};
 
-/// State up to an index, in place of the entries before it.
+/// State after the entry at an index. It replaces all entries up to there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Index of the last entry that it contains.
+    /// Index of the last entry that the snapshot includes.
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `index`.
     pub term: u64,
-    /// Voters at that index.
+    /// Voters in force at `index`.
     pub voters: Vec<Voter>,
-    /// Encoded state.
+    /// Encoded state machine.
     pub data: Bytes,
 }
 
-/// A snapshot and the entries after it.
+/// A log that starts with a snapshot, followed by the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     snapshot: Snapshot,
@@ -28,7 +28,7 @@
 }
 
 impl Log {
-    /// Makes a log from what was stored.
+    /// Makes a log from a stored snapshot and the entries after it.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let bytes = entries.iter().map(|e| e.command.len()).sum();
         Self {
@@ -48,12 +48,12 @@
         self.snapshot.index + 1
     }
 
-    /// Returns the index of the last entry.
+    /// Returns the index of the last entry, or of the snapshot if there is none after it.
     pub fn last_index(&self) -> u64 {
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// Returns the term of the last entry.
+    /// Returns the term of the last entry, or of the snapshot if there is none after it.
     pub fn last_term(&self) -> u64 {
         self.entries.back().map_or(self.snapshot.term, |e| e.term)
     }
@@ -68,12 +68,13 @@
         self.entries.is_empty()
     }
 
-    /// Returns the bytes of commands after the snapshot.
+    /// Returns the total size of the commands after the snapshot, in bytes.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns the term of the entry at `index`, if it is known.
+    /// Returns the term of the entry at `index`, or `None` if the index lies before the
+    /// snapshot or beyond the end.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -81,13 +82,14 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Returns the entry at `index`.
+    /// Returns the entry at `index`, unless it was compacted or lies beyond the end.
     pub fn get(&self, index: u64) -> Option<&Entry> {
         let at = index.checked_sub(self.first_index())?;
         self.entries.get(usize::try_from(at).ok()?)
     }
 
-    /// Returns entries from `index` on, up to about `max_bytes`, at least one.
+    /// Returns entries from `index` on, about `max_bytes` of them, but at least one if
+    /// there is any. Returns nothing if `index` was compacted.
     pub fn slice(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
         let Some(skip) = index.checked_sub(self.first_index()) else {
             return Vec::new();
@@ -104,7 +106,7 @@
         slice
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry. Its index must follow the last one.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.bytes += entry.command.len();
@@ -119,7 +121,8 @@
         }
     }
 
-    /// Puts a snapshot of this log's own state at its start.
+    /// Replaces the entries up to `snapshot.index` by a snapshot of the replica's own
+    /// state.
     pub fn compact(&mut self, snapshot: Snapshot) {
         while self.first_index() <= snapshot.index {
             let Some(entry) = self.entries.pop_front() else {
@@ -131,14 +134,15 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces everything by a snapshot of another replica.
+    /// Replaces the whole log by a snapshot received from another replica.
     pub fn reset(&mut self, snapshot: Snapshot) {
         self.snapshot = snapshot;
         self.entries.clear();
         self.bytes = 0;
     }
 
-    /// Returns the latest voters in the log, committed or not, and their index.
+    /// Returns the latest voters in the log, committed or not, and the index of the
+    /// entry or snapshot that set them.
     pub fn voters(&self) -> (&[Voter], u64) {
         self.entries
             .iter()
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -1,7 +1,7 @@
-//! Agreement among the replicas of the root group, as a pure state machine.
+//! Raft consensus among the replicas of the root group, as a state machine without I/O.
 //!
-//! Source: Ongaro, Consensus: Bridging Theory and Practice (Raft), with
-//! pre-vote, check-quorum, leader lease and member changes one at a time.
+//! Implements Ongaro, "Consensus: Bridging Theory and Practice", with pre-vote, check
+//! quorum, leader leases and single-server membership changes.
 
 mod ballot;
 mod election;
--- a/src/core/consensus/progress.rs
+++ b/src/core/consensus/progress.rs
@@ -1,44 +1,46 @@
-//! What a leader knows of one follower.
+//! A leader's view of one follower or observer.
 
 use std::time::Duration;
 
 use crate::core::time::Moment;
 
-/// Replication state of one follower or observer.
+/// Replication progress of one follower or observer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Name of its instance.
+    /// Name of the replica's instance.
     pub name: String,
-    /// Whether it keeps its log on a disk.
+    /// Whether the replica stores its log on disk.
     pub durable: bool,
-    /// Last index known to match the leader's log.
+    /// Highest index up to which the replica's log is known to match the leader's.
     pub matched: u64,
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub next: u64,
-    /// When the latest request that it answered was sent.
+    /// Time at which the latest acknowledged request was sent.
     pub acked_at: Moment,
-    /// When anything was last heard of it.
+    /// Time of the latest message received from the replica.
     pub heard_at: Moment,
-    /// When anything was last sent to it.
+    /// Time of the latest message sent to the replica.
     pub sent_at: Moment,
-    /// Latest commit index sent to it.
+    /// Latest commit index sent to the replica.
     pub told_commit: u64,
-    /// Snapshot on its way to it, as its index and the bytes received.
+    /// Snapshot being transferred: its index and the number of bytes acknowledged.
     pub snapshot: Option<(u64, u64)>,
-    /// Whether its log is being probed: entries go out one message at a time.
+    /// Whether the leader is looking for the matching index, with one message of entries
+    /// in flight at a time.
     pub probing: bool,
-    /// When the latest probe was sent; its answer repeats that.
+    /// Time at which the outstanding probe was sent. The reply repeats it.
     pub probed_at: Option<Moment>,
 }
 
-/// Entries that may be under way to a follower without an answer. It is some four
-/// round trips at a thousand entries a second.
+/// Largest number of unacknowledged entries in flight to one replica. Covers about four
+/// round trips at a thousand entries per second.
 const IN_FLIGHT_MAX: u64 = 256;
-/// A probe without an answer for this long is sent again.
+/// Time after which an unanswered probe is sent again.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Progress {
-    /// Makes the state of a follower whose log is not known yet.
+    /// Makes the progress of a replica whose log is not known yet. Entries are sent from
+    /// `next` on.
     pub fn new(name: &str, next: u64, now: Moment) -> Self {
         Self {
             name: name.to_owned(),
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Returns whether entries may be sent now.
+    /// Returns whether flow control lets entries be sent now.
     pub fn takes_entries(&self, now: Moment) -> bool {
         if self.probing {
             return self
@@ -58,7 +60,7 @@
         self.next.saturating_sub(self.matched + 1) < IN_FLIGHT_MAX
     }
 
-    /// Records that entries up to `index` match.
+    /// Records that the replica's log matches up to `index`.
     pub fn record_match(&mut self, index: u64) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
@@ -67,10 +69,12 @@
         self.probed_at = None;
     }
 
-    /// Records that the entry before the request sent at `sent_at` did not match.
-    /// While a probe is under way only its own answer counts: each request that
-    /// followed a lost one fails alike, and answering each would send the same
-    /// entries as often. Returns whether the answer counts.
+    /// Records that the request sent at `sent_at` was rejected because its preceding
+    /// entry did not match. Returns whether the rejection was used.
+    ///
+    /// While a probe is outstanding, only the reply to it is used. All requests in
+    /// flight after a lost one are rejected, and reacting to each would send the same
+    /// entries as many times.
     pub fn record_mismatch(&mut self, hint: u64, sent_at: Moment) -> bool {
         if self.probing && self.probed_at.is_some_and(|at| at != sent_at) {
             return false;
--- a/src/core/consensus/replica.rs
+++ b/src/core/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the root group, or an observer that follows it.
+//! A Raft replica: a voter of the root group, or an observer that follows its log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,57 +15,60 @@
 use crate::core::time::{Moment, with_clock_margin};
 use crate::wire::{Entry, Raft, RaftBody, Voter};
 
-/// Interval of a leader's heartbeats.
+/// Interval between a leader's heartbeats.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(120);
-/// Shortest election timeout. No replica votes within this of a leader's word.
+/// Shortest election timeout. A replica grants no vote within this time of hearing from
+/// a leader, on which the leader lease relies.
 pub const ELECTION_MIN: Duration = Duration::from_millis(500);
 /// Longest election timeout.
 pub const ELECTION_MAX: Duration = Duration::from_millis(1_000);
 
-/// What must be synced before messages are sent.
+/// Raft's hard state, which must be synced before messages are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hard {
-    /// Latest term seen.
+    /// Latest term that the replica has seen.
     pub term: u64,
-    /// Replica voted for in that term, or 0.
+    /// Replica that got this replica's vote in `term`, or 0 for none.
     pub vote: u64,
 }
 
-/// What a replica starts from.
+/// Persistent state from which a replica starts.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
-    /// Term and vote.
+    /// Stored term and vote.
     pub hard: Hard,
-    /// Snapshot.
+    /// Latest stored snapshot, or the default one if there is none.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Work for the driver, in this order: store, send, apply.
+/// Work for the driver, which stores, then sends, then applies.
 #[derive(Debug, Default)]
 pub struct Ready {
     /// Term and vote to store.
     pub hard: Option<Hard>,
-    /// Snapshot of another replica to store and to load into the state machine.
+    /// Snapshot received from another replica, to be stored and loaded into the state
+    /// machine.
     pub snapshot: Option<Snapshot>,
-    /// First index to remove from the stored log.
+    /// Index from which on the stored log is to be truncated.
     pub truncate_from: Option<u64>,
-    /// Entries to store.
+    /// Entries to append to the stored log, after any truncation.
     pub entries: Vec<Entry>,
-    /// Messages to send once all that is stored.
+    /// Messages to send once everything above is stored.
     pub messages: Vec<Raft>,
-    /// Entries to apply.
+    /// Committed entries to apply to the state machine.
     pub committed: Vec<Entry>,
-    /// Decisions of elections, to be logged.
+    /// Election events to write to the journal.
     pub ballots: Vec<Ballot>,
 }
 
-/// The replica does not lead, so it cannot take proposals.
+/// Error for a proposal to a replica that does not lead, or that cannot change the
+/// voters at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("not the leader of the root group"))]
 pub struct NotLeader {
-    /// Leader, if known.
+    /// Current leader, if known.
     pub leader: Option<u64>,
 }
 
@@ -85,7 +88,10 @@
     pub(super) first_index: u64,
 }
 
-/// One replica.
+/// State machine of one replica.
+///
+/// It does no I/O: the driver passes messages and the time in, and carries out the work
+/// that [`Replica::take_ready`] returns.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) id: u64,
@@ -110,7 +116,7 @@
 }
 
 impl Ready {
-    /// Returns whether the disk has something to store.
+    /// Returns whether there is anything to store.
     pub const fn needs_disk(&self) -> bool {
         self.hard.is_some()
             || self.snapshot.is_some()
@@ -118,17 +124,18 @@
             || !self.entries.is_empty()
     }
 
-    /// Returns whether there is nothing to do.
+    /// Returns whether there is nothing to store, send or apply.
     pub const fn is_idle(&self) -> bool {
         !self.needs_disk() && self.messages.is_empty() && self.committed.is_empty()
     }
 }
 
 impl Replica {
-    /// Makes a replica that starts at `now` from what it stored.
+    /// Makes a replica that starts at `now` from its stored state. `seed` determines its
+    /// election timeouts.
     ///
-    /// A replica that restarts does not vote before [`ELECTION_MIN`] has passed,
-    /// since it may have heard a leader just before.
+    /// A restarted replica does not vote before the shortest election timeout has
+    /// passed, since it may have heard from a leader just before the restart.
     pub fn new(id: u64, name: &str, durable: bool, stored: Stored, now: Moment, seed: u64) -> Self {
         let crc = crc32fast::hash(&stored.snapshot.data);
         let commit = stored.snapshot.index;
@@ -159,7 +166,7 @@
         replica
     }
 
-    /// Returns this replica's identity.
+    /// Returns this replica's number, by which the others address it.
     pub const fn id(&self) -> u64 {
         self.id
     }
@@ -169,7 +176,7 @@
         self.hard.term
     }
 
-    /// Returns the replica that leads, as far as known.
+    /// Returns the current leader, as far as this replica knows.
     pub const fn leader(&self) -> Option<u64> {
         self.leader
     }
@@ -189,22 +196,24 @@
         &self.log
     }
 
-    /// Returns the voters in force.
+    /// Returns the latest voters in the log, committed or not.
     pub fn voters(&self) -> &[Voter] {
         &self.voters
     }
 
-    /// Returns whether this replica votes.
+    /// Returns whether this replica is among the voters.
     pub fn is_voter(&self) -> bool {
         self.is_voting(self.id)
     }
 
-    /// Returns whether the group has not been founded, as far as this replica knows.
+    /// Returns whether this replica knows no voters, so that the group may not have been
+    /// founded yet.
     pub const fn is_blank(&self) -> bool {
         self.voters.is_empty()
     }
 
-    /// Returns the followers and observers of a leader.
+    /// Returns the progress of each follower and observer. Empty unless this replica
+    /// leads.
     pub fn progress(&self) -> impl Iterator<Item = (u64, &Progress)> {
         let progress = match &self.role {
             Role::Leader(lead) => Some(&lead.progress),
@@ -213,7 +222,8 @@
         progress.into_iter().flatten().map(|(&id, p)| (id, p))
     }
 
-    /// Founds the group: the first entry names its voters.
+    /// Founds the group with `voters`, which become the first log entry. Does nothing if
+    /// this replica knows voters or has log entries.
     pub fn found(&mut self, now: Moment, voters: Vec<Voter>) {
         if !self.is_blank() || self.log.last_index() > 0 {
             return;
@@ -229,8 +239,8 @@
         self.contact = Moment::ZERO;
     }
 
-    /// Returns whether this replica leads and no other replica can: its lease of
-    /// leadership holds and an entry of its own term is committed.
+    /// Returns whether this replica leads and no other replica can: it holds an
+    /// unexpired leader lease and has committed an entry of its own term.
     pub fn is_leased(&self, now: Moment) -> bool {
         let Role::Leader(lead) = &self.role else {
             return false;
@@ -239,7 +249,8 @@
         self.commit >= lead.first_index && now < self.quorum_contact(now) + (ELECTION_MIN - margin)
     }
 
-    /// Returns when this replica began to lead.
+    /// Returns the time at which this replica became leader, or `None` if it does not
+    /// lead.
     pub const fn leader_since(&self) -> Option<Moment> {
         match &self.role {
             Role::Leader(lead) => Some(lead.since),
@@ -247,7 +258,7 @@
         }
     }
 
-    /// Adds a command to the log.
+    /// Appends a command to the log and returns its index.
     ///
     /// # Errors
     ///
@@ -268,12 +279,14 @@
         Ok(index)
     }
 
-    /// Changes the voters by one replica. Refused while another change is under
-    /// way or before an entry of this term is committed.
+    /// Proposes voters that differ from the current ones by one replica, and returns the
+    /// index of the entry.
     ///
     /// # Errors
     ///
-    /// Fails if this replica does not lead or may not change the group now.
+    /// Fails if this replica does not lead, if `voters` is empty or differs by another
+    /// number of replicas, if an earlier change is not committed yet, or if no entry of
+    /// this term is.
     pub fn propose_voters(&mut self, voters: Vec<Voter>) -> Result<u64, NotLeader> {
         let refused = NotLeader {
             leader: self.leader,
@@ -298,22 +311,22 @@
         Ok(index)
     }
 
-    /// Sends what was proposed since the last call, without waiting for a heartbeat.
+    /// Sends entries proposed since the last call, without waiting for a heartbeat.
     pub fn flush(&mut self, now: Moment) {
         if self.is_leader() {
             self.replicate(now, false);
         }
     }
 
-    /// Lets time pass.
+    /// Handles timeouts that have expired by `now`.
     pub fn tick(&mut self, now: Moment) {
         match &self.role {
             Role::Leader(_) => self.tick_leader(now),
             _ if self.is_voter() => {
                 if now >= self.election_at {
                     self.campaign(now, true);
-                    // A voter that was voted out while it was away learns of it as
-                    // an observer; nobody answers its votes.
+                    // A voter that was removed while it was unreachable gets no answer
+                    // to its vote requests. It learns of its removal as an observer.
                     self.send_observe(0);
                 }
             }
@@ -321,7 +334,8 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from another replica. A message without a body or for another
+    /// replica is ignored.
     pub fn step(&mut self, now: Moment, message: Raft) {
         let from = message.from;
         let Some(body) = message.body else {
@@ -373,7 +387,8 @@
         committed
     }
 
-    /// Records that all work returned so far has been stored.
+    /// Records that everything returned by [`Replica::take_ready`] so far has been
+    /// stored.
     pub fn persisted(&mut self, now: Moment) {
         self.stable = self.log.last_index();
         if self.is_leader() {
@@ -381,8 +396,9 @@
         }
     }
 
-    /// Records that the log is stored up to the entry `index` of `term`, while later
-    /// entries may still be on their way to the disk.
+    /// Records that the log is stored up to the entry at `index`, while later entries
+    /// may still be in flight to the disk. Ignored if the entry at `index` no longer has
+    /// the given term.
     pub fn persisted_to(&mut self, now: Moment, index: u64, term: u64) {
         if self.log.term_at(index) != Some(term) {
             return;
@@ -393,9 +409,12 @@
         }
     }
 
-    /// Returns what a leader may send and apply before its own disk is done. Its
-    /// entries count for it only after [`Replica::persisted_to`], so followers may
-    /// have them first. Others must store before they answer, and get nothing here.
+    /// Returns the messages and committed entries that a leader may send and apply while
+    /// its own disk is still writing.
+    ///
+    /// A leader's own entries count towards a quorum only once they are recorded as
+    /// stored, so followers may receive them earlier. Replicas in other roles must store
+    /// before they reply; for them the result is empty.
     pub fn take_unstored(&mut self) -> Ready {
         if !self.is_leader() || self.ready.hard.is_some() {
             return Ready::default();
@@ -408,7 +427,9 @@
         }
     }
 
-    /// Compacts the log by a snapshot of the state after entry `index`.
+    /// Compacts the log with `data`, a snapshot of the state after the entry at `index`.
+    /// Returns the snapshot to store, or `None` if the entry has not been handed out for
+    /// applying or is already covered by a snapshot.
     pub fn compact(&mut self, index: u64, data: Bytes) -> Option<Snapshot> {
         let term = self.log.term_at(index)?;
         if index > self.handed || index <= self.log.snapshot().index {
--- a/src/core/consensus/replicate.rs
+++ b/src/core/consensus/replicate.rs
@@ -1,4 +1,4 @@
-//! A leader's side of replication.
+//! Replication as driven by the leader.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::core::time::Moment;
 use crate::wire::{Append, AppendReply, Observe, RaftBody, SnapshotReply};
 
-/// Interval of heartbeats to observers.
+/// Interval between heartbeats to an observer.
 const OBSERVER_HEARTBEAT_EVERY: Duration = Duration::from_millis(1_000);
-/// A leader forgets observers that were silent for this long.
+/// Time without a message after which a leader drops an observer.
 const OBSERVER_SILENCE_MAX: Duration = Duration::from_secs(10);
-/// A part of a snapshot is sent again when it was not answered for this long.
+/// Time after which an unanswered part of a snapshot is sent again.
 const PART_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Bytes of entries in one message.
+/// Approximate limit for the entries in one message.
 const APPEND_BYTES: usize = 256 << 10;
 
 impl Replica {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Returns when the latest requests answered by a quorum were sent.
+    /// Returns the latest time such that a quorum, including this leader, has answered
+    /// requests sent at or after it.
     pub(super) fn quorum_contact(&self, now: Moment) -> Moment {
         let Role::Leader(lead) = &self.role else {
             return Moment::ZERO;
@@ -171,7 +172,7 @@
         self.send(to, RaftBody::Snapshot(part));
     }
 
-    // Records that a follower answered, in this term, what was sent at `sent_at`.
+    // Records that a replica answered, in this term, the request sent at `sent_at`.
     fn acknowledge(
         &mut self,
         now: Moment,
--- a/src/core/consensus/transfer.rs
+++ b/src/core/consensus/transfer.rs
@@ -1,14 +1,14 @@
-//! Receiving a snapshot in parts, resumable by offset.
+//! Transfer of a snapshot in parts, resumable by offset.
 
 use bytes::{Bytes, BytesMut};
 
 use super::log::Snapshot;
 use crate::wire::{SnapshotPart, Voter};
 
-/// Size of one part, in bytes.
+/// Largest size of one part.
 pub const PART_BYTES: usize = 64 << 10;
 
-/// A snapshot that has arrived in part.
+/// A snapshot that is being received.
 #[derive(Debug)]
 pub struct Incoming {
     index: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Incoming {
-    /// Starts the reception of the snapshot that `part` belongs to.
+    /// Starts receiving the snapshot that `part` belongs to. Does not add the part.
     pub fn new(part: &SnapshotPart) -> Self {
         Self {
             index: part.index,
@@ -40,24 +40,25 @@
             && self.crc == part.crc
     }
 
-    /// Returns the bytes received without a gap.
+    /// Returns the number of contiguous bytes received from the start.
     pub fn received(&self) -> u64 {
         self.data.len() as u64
     }
 
-    /// Adds a part if it continues what is there.
+    /// Appends a part if it starts where the received bytes end, and ignores it
+    /// otherwise.
     pub fn add(&mut self, part: &SnapshotPart) {
         if part.offset == self.received() {
             self.data.extend_from_slice(&part.data);
         }
     }
 
-    /// Returns whether all bytes are there.
+    /// Returns whether all bytes have been received.
     pub fn is_complete(&self) -> bool {
         self.received() >= self.total
     }
 
-    /// Checks and returns the snapshot; `None` if its checksum differs.
+    /// Returns the snapshot, or `None` if its checksum does not match.
     pub fn finish(self) -> Option<Snapshot> {
         let data: Bytes = self.data.freeze();
         (crc32fast::hash(&data) == self.crc).then_some(Snapshot {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Cuts the part at `offset` out of a snapshot.
+/// Returns the part of a snapshot that starts at `offset`.
 pub fn part_of(snapshot: &Snapshot, crc: u32, offset: u64, sent_at: u64) -> SnapshotPart {
     let start = usize::try_from(offset)
         .unwrap_or(usize::MAX)
