--- a/src/store/folder.rs
+++ b/src/store/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: one process at a time, private to its user.
+//! The data folder, which one process uses at a time and only its user can read.
 
 use std::fs::{self, DirBuilder, File, OpenOptions};
 use std::io::{Read, Write};
@@ -7,12 +7,12 @@
 
 use crate::error::{Error, Kind, Result};
 
-/// Mode of the data folder.
+/// Permissions of the data folder.
 const FOLDER_MODE: u32 = 0o700;
-/// Mode of its files.
+/// Permissions of the files in the data folder.
 const FILE_MODE: u32 = 0o600;
 
-/// An open data folder. The lock is held until it is dropped.
+/// An open data folder, locked until it is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -21,11 +21,12 @@
 }
 
 impl Folder {
-    /// Opens or makes a data folder and takes its lock.
+    /// Opens a data folder, creating it if needed, and locks it.
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be made or read, or if another process uses it.
+    /// Fails if the folder cannot be created or read, or if another process holds its
+    /// lock.
     pub fn open(path: &Path) -> Result<Self> {
         DirBuilder::new()
             .recursive(true)
@@ -49,8 +50,8 @@
         &self.path
     }
 
-    /// Returns the identity of the replica whose state the folder holds. A new
-    /// folder is a new replica.
+    /// Returns the number of the replica whose state the folder holds. A new folder gets
+    /// a new random number.
     pub const fn replica(&self) -> u64 {
         self.replica
     }
@@ -71,7 +72,7 @@
     Ok(replica)
 }
 
-/// Opens a file that only its user can read, making it if needed.
+/// Opens a file for reading and writing, creating it with permissions for its user only.
 ///
 /// # Errors
 ///
@@ -86,12 +87,13 @@
         .open(path)
 }
 
-/// Writes a file under a temporary name, syncs it, renames it into place and
-/// syncs the folder.
+/// Replaces a file atomically: writes and syncs a temporary file, renames it into place
+/// and syncs the folder.
 ///
 /// # Errors
 ///
-/// Fails if any of these steps does; the old file is then still in place.
+/// Fails if any of these steps fails. The old file is then still in place, unless only
+/// the last step, the sync of the folder, failed.
 pub fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> std::io::Result<()> {
     let temporary = folder.join(format!("{name}.tmp"));
     let _ = fs::remove_file(&temporary);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Files of the data folder.
+//! Persistent state of a replica, in files of the data folder.
 
 mod folder;
 mod record;
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -1,13 +1,13 @@
-//! Records of the log file: length, checksum, content.
+//! Framing of the records in the log and snapshot files: length, checksum, content.
 
 use bytes::{BufMut, Bytes};
 
-/// Bytes before the content: length and CRC-32, four bytes each.
+/// Size of the header before the content: length and CRC-32, four bytes each.
 pub const HEAD_BYTES: usize = 8;
-/// Largest content of a record, in bytes.
+/// Largest content of a record that is accepted when reading.
 const CONTENT_MAX: usize = 32 << 20;
 
-/// Appends a record to `buf`.
+/// Appends a record with the given content to `buf`.
 pub fn put(buf: &mut Vec<u8>, content: &[u8]) {
     let length = u32::try_from(content.len()).expect("record below 4 GiB");
     buf.put_u32_le(length);
@@ -15,18 +15,18 @@
     buf.put_slice(content);
 }
 
-/// What stands at a position of a log file.
+/// Result of reading at a position of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Found {
-    /// A whole record and the position after it.
+    /// Content of an intact record, and the position after it.
     Record(Bytes, usize),
     /// The end of the file.
     End,
-    /// Bytes that are no record.
+    /// Bytes that are not an intact record.
     Damage,
 }
 
-/// Reads the record at `at`.
+/// Reads the record that starts at position `at`, which must not lie beyond the end.
 pub fn get(file: &Bytes, at: usize) -> Found {
     let rest = file.len() - at;
     if rest == 0 {
@@ -48,11 +48,12 @@
     Found::Record(content, at + HEAD_BYTES + size)
 }
 
-/// Returns whether a whole record starts anywhere after `at`.
+/// Returns whether an intact record starts anywhere after position `at`.
 pub fn any_after(file: &Bytes, at: usize) -> bool {
     (at + 1..file.len()).any(|at| {
-        // An empty record is no evidence: eight zero bytes are not one, but the
-        // content of other records may hold such a pattern by chance.
+        // Empty records do not count: the content of another record may contain the
+        // eight bytes of one by chance. Eight zero bytes are not an empty record, as its
+        // checksum is not zero.
         matches!(get(file, at), Found::Record(content, _) if !content.is_empty())
     })
 }
--- a/src/store/wal.rs
+++ b/src/store/wal.rs
@@ -1,4 +1,4 @@
-//! The replica's term, vote, snapshot and log on disk.
+//! Write-ahead log: a replica's term, vote, snapshot and log entries on disk.
 
 use std::fs::File;
 use std::io::{Seek, SeekFrom, Write};
@@ -28,7 +28,7 @@
     Hard(HardLine),
     #[prost(message, tag = "2")]
     Entry(Entry),
-    /// Removes the entries from this index on.
+    /// Truncates the log: removes the entries from this index on.
     #[prost(uint64, tag = "3")]
     Truncate(u64),
 }
@@ -39,7 +39,7 @@
     term: u64,
     #[prost(fixed64, tag = "2")]
     vote: u64,
-    /// Number of snapshots of other replicas that the log file follows.
+    /// Number of snapshots received from other replicas before the log file was written.
     #[prost(uint64, tag = "3")]
     generation: u64,
 }
@@ -54,12 +54,13 @@
     voters: Vec<Voter>,
     #[prost(bytes = "bytes", tag = "4")]
     data: Bytes,
-    /// Entries of a log file of an earlier generation do not follow this snapshot.
+    /// Generation of the log file that continues this snapshot. The entries of a log
+    /// file of an earlier generation do not follow it.
     #[prost(uint64, tag = "5")]
     generation: u64,
 }
 
-/// The log file, open for appending.
+/// Write-ahead log of a replica, with its log file open for appending.
 #[derive(Debug)]
 pub struct Wal {
     folder: Folder,
@@ -70,12 +71,13 @@
 }
 
 impl Wal {
-    /// Reads what the folder holds and opens the log for appending. A torn tail is
-    /// cut off.
+    /// Reads the state that the folder holds and opens the log file for appending. An
+    /// incomplete record at the end of the file, as a crash leaves it, is cut off.
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be read or is damaged elsewhere than at its tail.
+    /// Fails if a file cannot be read, if the snapshot is damaged, if the log file is
+    /// damaged elsewhere than at its end, or if the log has a gap.
     pub fn open(folder: Folder) -> Result<(Self, Stored)> {
         let (snapshot, generation) = read_snapshot(&folder)?;
         let path = folder.path().join(LOG);
@@ -114,25 +116,27 @@
         Ok((wal, stored))
     }
 
-    /// Returns the size of the log file, in bytes.
+    /// Returns the length of the log file, in bytes.
     pub const fn size(&self) -> u64 {
         self.end
     }
 
-    /// Returns the identity of the replica.
+    /// Returns the number of the replica whose state this is.
     pub const fn replica(&self) -> u64 {
         self.folder.replica()
     }
 
-    /// Stores what `ready` holds and syncs it.
+    /// Writes the term and vote, snapshot, truncation and entries of `ready` and syncs
+    /// them.
     ///
     /// # Errors
     ///
-    /// Fails if it could not be synced, as on a full disk. The file is then as
-    /// before, and the call may be repeated.
+    /// Fails if the data could not be written or synced, for example on a full disk. The
+    /// call may then be repeated; records that were written in part are cut off.
     pub fn store(&mut self, ready: &Ready) -> std::io::Result<()> {
         if let Some(snapshot) = &ready.snapshot {
-            // A crash between the two steps must not join the old log to it.
+            // After a crash between the two writes, the old log must not be taken for
+            // the continuation of the new snapshot.
             self.generation += 1;
             self.write_snapshot(snapshot)?;
             self.rewrite(ready.hard.unwrap_or(self.hard), &ready.entries)?;
@@ -156,12 +160,13 @@
         Ok(())
     }
 
-    /// Stores a snapshot of the replica's own state and drops the log before it.
+    /// Stores a snapshot of the replica's own state, and replaces the log file by one
+    /// that holds `entries`, those after the snapshot.
     ///
     /// # Errors
     ///
-    /// Fails if it could not be synced; log and old snapshot are then unchanged or
-    /// complete with the new one.
+    /// Fails if the data could not be written or synced. The snapshot and the log file
+    /// may then each be the old or the new one; what they hold together is complete.
     pub fn compact(&mut self, snapshot: &Snapshot, entries: &[Entry]) -> std::io::Result<()> {
         self.write_snapshot(snapshot)?;
         self.rewrite(self.hard, entries)
@@ -174,7 +179,7 @@
             .and_then(|_| self.file.write_all(buf))
             .and_then(|()| self.file.sync_data());
         if let Err(err) = written {
-            // What was written in part must not be taken for a record later.
+            // A partly written record must not be followed by others.
             self.file.set_len(self.end)?;
             return Err(err);
         }
@@ -248,8 +253,9 @@
     Ok((snapshot, file.generation))
 }
 
-// Yields the records and the position after the last, or the position of damage
-// that is not a torn tail.
+// Returns the records and the position after the last one, or as an error the position of
+// damage that is not at the end of the file. Damage counts as an incomplete write at the
+// end if no intact record follows it.
 fn read_lines(bytes: &Bytes) -> Result<(Vec<Content>, usize), usize> {
     let mut lines = Vec::new();
     let mut at = 0;
@@ -267,7 +273,8 @@
     }
 }
 
-// Every log file but the first of a folder starts with its generation.
+// A log file starts with a record that holds its generation, except for the first one of
+// a folder, which is of generation 0.
 const fn log_generation(first: &Content) -> u64 {
     match first {
         Content::Hard(hard) => hard.generation,
@@ -283,8 +290,7 @@
                 vote: hard.vote,
             };
         }
-        // Entries that the snapshot contains are left over from a compaction that
-        // was cut short.
+        // A crash during compaction can leave entries that the snapshot already covers.
         Content::Entry(entry) if entry.index > stored.snapshot.index => {
             stored.entries.push(entry);
         }
