--- a/src/wire/handshake.rs
+++ b/src/wire/handshake.rs
@@ -1,52 +1,53 @@
-//! Messages at the start of a link.
+//! Handshake messages at the start of a link.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// First frame of each side of a link, before anything else is read.
+/// First frame that each side of a link sends.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Challenge {
-    /// Protocol version.
+    /// Protocol version of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// Random bytes that the other side's proof must cover.
+    /// Random bytes that the other side's proof must include.
     #[prost(bytes = "bytes", tag = "2")]
     pub nonce: Bytes,
 }
 
-/// Second frame of each side of a link.
+/// Second frame that each side of a link sends: proof that it knows the cell's secret.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Proof {
     /// Encoded [`Hello`].
     #[prost(bytes = "bytes", tag = "1")]
     pub hello: Bytes,
-    /// HMAC-SHA-256 over direction, both nonces and `hello`.
+    /// HMAC-SHA-256, keyed with the cell's secret, over the sender's side, both nonces
+    /// and `hello`.
     #[prost(bytes = "bytes", tag = "2")]
     pub mac: Bytes,
 }
 
-/// What an instance says of itself.
+/// Description of the instance that opens or accepts a link.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Hello {
-    /// Run of its process.
+    /// Number of the instance, drawn anew at each start of its process.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// Name.
+    /// Name of the instance.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the instance.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Address for peers.
+    /// Address at which the instance accepts links from peers.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Identity as a replica.
+    /// Replica number in the root group.
     #[prost(fixed64, tag = "5")]
     pub replica: u64,
-    /// Whether it has a disk.
+    /// Whether the instance stores its log on disk.
     #[prost(bool, tag = "6")]
     pub durable: bool,
-    /// Whether it has joined a founded group.
+    /// Whether the instance has joined a founded root group.
     #[prost(bool, tag = "7")]
     pub founded: bool,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's processes.
+//! Messages that instances exchange over peer links, encoded with protobuf.
 
 mod handshake;
 mod raft;
@@ -12,44 +12,45 @@
     VoteReply, Voter, Yield,
 };
 
-/// Version of the protocol. Peers of another version are refused by name.
+/// Version of the protocol. A link to a peer of another version is refused, with an
+/// error that names both versions.
 pub const VERSION: u32 = 1;
-/// Largest frame, in bytes.
+/// Largest frame that is accepted after the handshake.
 pub const FRAME_MAX: usize = 4 << 20;
 
-/// One frame of a peer link.
+/// Frame of a peer link.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// Content.
+    /// Message in the frame.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12")]
     pub body: Option<Body>,
 }
 
-/// Content of a frame.
+/// Message in a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// Consensus message.
+    /// Raft message of the root group.
     #[prost(message, tag = "1")]
     Raft(Raft),
-    /// Heartbeat of the link, and who else is known.
+    /// Heartbeat of the link, with addresses of known peers.
     #[prost(message, tag = "2")]
     Ping(Ping),
-    /// Question that gets one answer.
+    /// Remote call, answered by one [`Return`].
     #[prost(message, tag = "3")]
     Call(Call),
-    /// Answer to a question.
+    /// Answer to a call.
     #[prost(message, tag = "4")]
     Return(Return),
-    /// Request for a zone leader's lease.
+    /// Request of a zone leader or candidate to the root group for the zone's lease.
     #[prost(message, tag = "5")]
     LeaseRequest(LeaseRequest),
-    /// Answer to it.
+    /// Reply to a lease request.
     #[prost(message, tag = "6")]
     LeaseReply(LeaseReply),
-    /// Request for the promise of a member of the roster.
+    /// Request of a zone leader for the promise of a member of its roster.
     #[prost(message, tag = "7")]
     PromiseRequest(LeaseRequest),
-    /// Answer to it.
+    /// Reply to a promise request.
     #[prost(message, tag = "8")]
     PromiseReply(LeaseReply),
     /// Report of an entry instance to a zone leader.
@@ -58,18 +59,18 @@
     /// Allotment of a zone leader to an entry instance.
     #[prost(message, tag = "10")]
     Allotment(Allotment),
-    /// Withdrawn keys, spread at once.
+    /// Withdrawn keys, broadcast without waiting for the root group.
     #[prost(message, tag = "11")]
     Withdrawn(Withdrawn),
-    /// Word of a leader under its lease.
+    /// Heartbeat of a leader that holds its lease.
     #[prost(message, tag = "12")]
     Leading(Leading),
 }
 
-/// Word of a leader that its lease of leadership holds.
+/// Heartbeat that a leader sends while it holds its lease.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Leading {
-    /// Its term.
+    /// Leader's term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
 }
@@ -80,48 +81,49 @@
     /// Sender's clock, in microseconds.
     #[prost(uint64, tag = "1")]
     pub sent_at: u64,
-    /// The latest `sent_at` that came from the other side.
+    /// Latest `sent_at` received from the other side, or 0 if there is none.
     #[prost(uint64, tag = "2")]
     pub echo: u64,
-    /// Time since that came, in microseconds.
+    /// Time between the receipt of the echoed ping and the sending of this one, in
+    /// microseconds.
     #[prost(uint64, tag = "3")]
     pub held: u64,
-    /// Peer addresses that the sender knows.
+    /// Addresses of peers that the sender knows. Not every ping carries them.
     #[prost(string, repeated, tag = "4")]
     pub peers: Vec<String>,
     /// Whether the sender is stopping.
     #[prost(bool, tag = "5")]
     pub leaving: bool,
-    /// Age of the sender's knowledge of the root group's state, in microseconds;
-    /// absent if it has none.
+    /// Age of the sender's view of the root group's state, in microseconds. Absent if
+    /// the sender has none.
     #[prost(uint64, optional, tag = "6")]
     pub fresh_age: Option<u64>,
-    /// Position in the log that this knowledge reaches to.
+    /// Log index up to which that view is applied.
     #[prost(uint64, tag = "7")]
     pub fresh_index: u64,
-    /// Milliseconds of the sender's event clock.
+    /// Sender's event clock, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub stamp_millis: u64,
-    /// Order within that millisecond.
+    /// Counter of the event clock that orders events within `stamp_millis`.
     #[prost(uint32, tag = "9")]
     pub stamp_count: u32,
 }
 
-/// Question with a number that its answer repeats.
+/// Remote call.
 #[derive(Clone, PartialEq, Message)]
 pub struct Call {
-    /// Number, unique for the caller.
+    /// Number of the call, unique for the caller. The answer repeats it.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Encoded question.
+    /// Encoded query.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: Bytes,
 }
 
-/// Answer to a question.
+/// Answer to a [`Call`].
 #[derive(Clone, PartialEq, Message)]
 pub struct Return {
-    /// Number of the question.
+    /// Number of the call.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// Encoded answer.
@@ -129,42 +131,44 @@
     pub body: Bytes,
 }
 
-/// Request for a lease or a promise.
+/// Request for a zone leader's lease, or for a member's promise.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRequest {
-    /// Zone that is led.
+    /// Zone that the lease or promise is for.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Term of the leadership, or the last term seen by one that asks to lead.
+    /// Sender's term as zone leader. For a candidate, the last term it has seen.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Sender's clock, in microseconds.
     #[prost(uint64, tag = "3")]
     pub sent_at: u64,
-    /// Whether the sender asks to be named leader, having let its promise lapse.
+    /// Whether the sender is a candidate: it asks to become zone leader after its own
+    /// promise has lapsed.
     #[prost(bool, tag = "4")]
     pub campaign: bool,
-    /// Roster that the sender wants, as instance numbers; empty to keep it.
+    /// Instance numbers of the roster that the sender asks for. Empty to keep the
+    /// current roster.
     #[prost(uint64, repeated, tag = "5")]
     pub roster: Vec<u64>,
-    /// Whether the sender holds authority now.
+    /// Whether the sender has the authority to act as zone leader at present.
     #[prost(bool, tag = "6")]
     pub has_authority: bool,
 }
 
-/// Answer to a request for a lease or a promise.
+/// Reply to a request for a lease or a promise.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseReply {
-    /// Zone.
+    /// Zone of the request.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Term that the answer is for.
+    /// Term of the lease or promise.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// `sent_at` of the request.
     #[prost(uint64, tag = "3")]
     pub sent_at: u64,
-    /// Whether it is granted.
+    /// Whether the lease or promise is granted.
     #[prost(bool, tag = "4")]
     pub granted: bool,
 }
@@ -172,16 +176,16 @@
 /// Demand of one team for one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct Demand {
-    /// Service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Team.
+    /// Name of the team.
     #[prost(string, tag = "2")]
     pub team: String,
-    /// Requests waiting.
+    /// Number of requests that are queued.
     #[prost(uint64, tag = "3")]
     pub waiting: u64,
-    /// Requests running.
+    /// Number of requests that are running.
     #[prost(uint64, tag = "4")]
     pub running: u64,
 }
@@ -189,13 +193,13 @@
 /// Counters of one escrow account.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Balance {
-    /// Cell.
+    /// Number of the divided capacity: an upstream's slots or a team's units.
     #[prost(fixed64, tag = "1")]
     pub cell: u64,
-    /// Units given in all.
+    /// Units that the issuer has given since the account was opened.
     #[prost(uint64, tag = "2")]
     pub given: u64,
-    /// Units returned in all.
+    /// Units that the holder has returned since the account was opened.
     #[prost(uint64, tag = "3")]
     pub returned: u64,
 }
@@ -203,16 +207,16 @@
 /// Report of an entry instance to a zone leader.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// Zone whose leader it is for.
+    /// Zone whose leader is to receive the report.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Accounts' epoch that the report is made under.
+    /// Epoch of the accounts that the report belongs to.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
     /// Sender's clock, in microseconds.
     #[prost(uint64, tag = "3")]
     pub sent_at: u64,
-    /// Whether `slots` and `units` are opening balances in use.
+    /// Whether `slots` and `units` are the opening balances of a new epoch.
     #[prost(bool, tag = "4")]
     pub opening: bool,
     /// Slot accounts that changed.
@@ -221,19 +225,19 @@
     /// Team unit accounts that changed.
     #[prost(message, repeated, tag = "6")]
     pub units: Vec<Balance>,
-    /// Requests waiting and running.
+    /// Queued and running requests by service and team.
     #[prost(message, repeated, tag = "7")]
     pub demands: Vec<Demand>,
     /// Number of the latest allotment received in this epoch.
     #[prost(uint64, tag = "9")]
     pub received: u64,
-    /// Number of this report.
+    /// Number of this report within the epoch.
     #[prost(uint64, tag = "10")]
     pub number: u64,
-    /// Zone that the sender is in.
+    /// Sender's own zone.
     #[prost(string, tag = "11")]
     pub from_zone: String,
-    /// Whether the sender is stopping and wants nothing more.
+    /// Whether the sender is stopping and needs no more units.
     #[prost(bool, tag = "12")]
     pub leaving: bool,
     /// Whether the opening balances contain idle units, which the sender may use
@@ -242,31 +246,31 @@
     pub kept_idle: bool,
 }
 
-/// What an entry instance needs to know of an upstream.
+/// Description of an upstream for entry instances.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpstreamInfo {
-    /// Name.
+    /// Name of the upstream.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Incarnation.
+    /// Number that rises with each restart of the upstream.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Service.
+    /// Name of the service that the upstream offers.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// Address.
+    /// Address for requests.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Slots.
+    /// Number of slots for requests.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
-    /// Connections.
+    /// Largest number of connections.
     #[prost(uint32, tag = "6")]
     pub connections: u32,
-    /// Whether it takes nothing new.
+    /// Whether the upstream accepts no new requests.
     #[prost(bool, tag = "7")]
     pub leaving: bool,
-    /// Whether it is gone.
+    /// Whether the upstream is gone. Senders leave this false, and receivers ignore it.
     #[prost(bool, tag = "8")]
     pub gone: bool,
 }
@@ -274,10 +278,10 @@
 /// Request to return idle units.
 #[derive(Clone, PartialEq, Message)]
 pub struct Recall {
-    /// Service or team.
+    /// Name of the service or team.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Units wanted back.
+    /// Number of units to return.
     #[prost(uint64, tag = "2")]
     pub units: u64,
 }
@@ -285,19 +289,20 @@
 /// Allotment of a zone leader to an entry instance.
 #[derive(Clone, PartialEq, Message)]
 pub struct Allotment {
-    /// Zone.
+    /// Zone of the sender.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Epoch of the accounts. Another epoch than the holder's means: open anew.
+    /// Epoch of the accounts that the allotment belongs to. An allotment of another
+    /// epoch than the holder's is ignored, unless `reopen` is set.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// `sent_at` of the report that this answers.
+    /// Latest `sent_at` of the reports received in this epoch.
     #[prost(uint64, tag = "3")]
     pub sent_at: u64,
     /// Number of this allotment within the epoch.
     #[prost(uint64, tag = "4")]
     pub number: u64,
-    /// Report number that this answers.
+    /// Number of the report that this allotment answers.
     #[prost(uint64, tag = "5")]
     pub answers: u64,
     /// Upstreams that changed.
@@ -309,21 +314,22 @@
     /// Team unit accounts that changed.
     #[prost(message, repeated, tag = "8")]
     pub units: Vec<Balance>,
-    /// Slots wanted back by service.
+    /// Idle slots to return, by service.
     #[prost(message, repeated, tag = "9")]
     pub recall_slots: Vec<Recall>,
-    /// Team units wanted back.
+    /// Idle units to return, by team.
     #[prost(message, repeated, tag = "10")]
     pub recall_units: Vec<Recall>,
-    /// Whether the accounts are closed until the sender has opened them anew.
+    /// Whether the entry instance must reopen its accounts in this epoch with a report
+    /// of opening balances.
     #[prost(bool, tag = "11")]
     pub reopen: bool,
-    /// Position in the log that the zone leader has applied.
+    /// Log index up to which the zone leader has applied the root group's log.
     #[prost(uint64, tag = "12")]
     pub applied: u64,
 }
 
-/// Withdrawn keys.
+/// Broadcast of withdrawn keys.
 #[derive(Clone, PartialEq, Message)]
 pub struct Withdrawn {
     /// Names of the keys.
--- a/src/wire/raft.rs
+++ b/src/wire/raft.rs
@@ -1,62 +1,63 @@
-//! Messages of the root group.
+//! Raft messages of the root group.
 
 use bytes::Bytes;
 use prost::{Message, Oneof};
 
-/// Consensus message.
+/// Raft message with its envelope.
 #[derive(Clone, PartialEq, Message)]
 pub struct Raft {
     /// Sender's term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Replica that sends.
+    /// Number of the sending replica.
     #[prost(fixed64, tag = "2")]
     pub from: u64,
-    /// Replica that it is for.
+    /// Number of the receiving replica, or 0 for every peer.
     #[prost(fixed64, tag = "3")]
     pub to: u64,
-    /// Content.
+    /// Message content. A message without it is ignored.
     #[prost(oneof = "RaftBody", tags = "4, 5, 6, 7, 8, 9, 10, 11")]
     pub body: Option<RaftBody>,
 }
 
-/// Content of a consensus message.
+/// Content of a Raft message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum RaftBody {
-    /// Asks for a vote.
+    /// Request for a vote or pre-vote.
     #[prost(message, tag = "4")]
     Vote(Vote),
-    /// Answers that.
+    /// Reply to a vote request.
     #[prost(message, tag = "5")]
     VoteReply(VoteReply),
-    /// Replicates entries.
+    /// Entries to append, or a heartbeat.
     #[prost(message, tag = "6")]
     Append(Append),
-    /// Answers that.
+    /// Reply to an append request or to a complete snapshot.
     #[prost(message, tag = "7")]
     AppendReply(AppendReply),
-    /// Carries part of a snapshot.
+    /// Part of a snapshot.
     #[prost(message, tag = "8")]
     Snapshot(SnapshotPart),
-    /// Answers that.
+    /// Reply to a part of an incomplete snapshot.
     #[prost(message, tag = "9")]
     SnapshotReply(SnapshotReply),
-    /// Asks the leader to replicate to the sender.
+    /// Request for replication to the sender.
     #[prost(message, tag = "10")]
     Observe(Observe),
-    /// Asks the receiver to stand for election at once.
+    /// Leadership transfer: request to start an election at once.
     #[prost(message, tag = "11")]
     Yield(Yield),
 }
 
-/// Word of a leader that it has given up its term in favour of the receiver.
+/// Notice of a leader that it has stepped down and that the receiver should start an
+/// election at once.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Yield {}
 
-/// Request for a vote.
+/// Request for a vote or pre-vote.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Vote {
-    /// Whether it only asks if a vote would be given.
+    /// Whether this is a pre-vote, which asks whether a vote would be granted.
     #[prost(bool, tag = "1")]
     pub pre: bool,
     /// Index of the candidate's last entry.
@@ -65,42 +66,43 @@
     /// Term of the candidate's last entry.
     #[prost(uint64, tag = "3")]
     pub last_term: u64,
-    /// Term that the candidate runs for.
+    /// Term of the election.
     #[prost(uint64, tag = "4")]
     pub for_term: u64,
-    /// Whether the leader gave up its term for the candidate, so that voters need not
-    /// wait until they have not heard it for a while.
+    /// Whether the leader stepped down in favour of the candidate, so that voters may
+    /// vote although they have recently heard from the leader.
     #[prost(bool, tag = "5")]
     pub yielded: bool,
 }
 
-/// Answer to a request for a vote.
+/// Reply to [`Vote`].
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct VoteReply {
-    /// Whether it answers a pre-vote.
+    /// Whether this is the reply to a pre-vote.
     #[prost(bool, tag = "1")]
     pub pre: bool,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// Term that the candidate runs for.
+    /// Term of the election, as in the request.
     #[prost(uint64, tag = "3")]
     pub for_term: u64,
 }
 
-/// One entry of the log.
+/// Log entry: a command, or a change of the voters.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Entry {
-    /// Term in which it was proposed.
+    /// Term of the leader that proposed the entry.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Position in the log.
+    /// Position in the log, counted from 1.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// Encoded command; empty for a change of the group.
+    /// Encoded command. Empty for a change of the voters and for the first entry of a
+    /// leader's term.
     #[prost(bytes = "bytes", tag = "3")]
     pub command: Bytes,
-    /// Voters from this entry on; empty for a command.
+    /// Voters from this entry on. Empty if the entry does not change them.
     #[prost(message, repeated, tag = "4")]
     pub voters: Vec<Voter>,
 }
@@ -108,44 +110,45 @@
 /// A voting replica.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Message)]
 pub struct Voter {
-    /// Replica.
+    /// Replica number.
     #[prost(fixed64, tag = "1")]
     pub replica: u64,
-    /// Name of its instance.
+    /// Name of the replica's instance.
     #[prost(string, tag = "2")]
     pub name: String,
 }
 
-/// Replicates entries.
+/// Request to append entries. Without entries it serves as a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Append {
-    /// Index of the entry before the first.
+    /// Index of the entry that precedes `entries`.
     #[prost(uint64, tag = "1")]
     pub prev_index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `prev_index`.
     #[prost(uint64, tag = "2")]
     pub prev_term: u64,
-    /// Entries.
+    /// Consecutive entries to append.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<Entry>,
     /// Leader's commit index.
     #[prost(uint64, tag = "4")]
     pub commit: u64,
-    /// Leader's clock, in microseconds.
+    /// Leader's clock when it sent the message, in microseconds.
     #[prost(uint64, tag = "5")]
     pub sent_at: u64,
-    /// Age of the leader's latest contact with a quorum, in microseconds.
+    /// Time since the leader's latest contact with a quorum, in microseconds.
     #[prost(uint64, tag = "6")]
     pub quorum_age: u64,
 }
 
-/// Answer to [`Append`].
+/// Reply to [`Append`], or to the last [`SnapshotPart`] of a snapshot.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct AppendReply {
-    /// Whether the entries were taken.
+    /// Whether the preceding entry matched and the entries were accepted.
     #[prost(bool, tag = "1")]
     pub ok: bool,
-    /// Last matching index, or where to go on if not taken.
+    /// If accepted, the last matching index; otherwise the index after which the leader
+    /// should retry.
     #[prost(uint64, tag = "2")]
     pub index: u64,
     /// `sent_at` of the request.
@@ -156,39 +159,39 @@
 /// Part of a snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub struct SnapshotPart {
-    /// Index of the last entry in the snapshot.
+    /// Index of the last entry that the snapshot includes.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `index`.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Position of `data` in the snapshot.
+    /// Position of `data` in the snapshot, in bytes.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
-    /// Length of the snapshot.
+    /// Length of the whole snapshot, in bytes.
     #[prost(uint64, tag = "4")]
     pub total: u64,
-    /// Bytes.
+    /// Bytes of this part.
     #[prost(bytes = "bytes", tag = "5")]
     pub data: Bytes,
     /// CRC-32 of the whole snapshot.
     #[prost(uint32, tag = "6")]
     pub crc: u32,
-    /// Voters at that index.
+    /// Voters in force at `index`.
     #[prost(message, repeated, tag = "7")]
     pub voters: Vec<Voter>,
-    /// Leader's clock, in microseconds.
+    /// Leader's clock when it sent the part, in microseconds.
     #[prost(uint64, tag = "8")]
     pub sent_at: u64,
 }
 
-/// Answer to [`SnapshotPart`].
+/// Reply to [`SnapshotPart`] while the snapshot is incomplete.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct SnapshotReply {
-    /// Snapshot that it answers.
+    /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Bytes received without a gap.
+    /// Number of contiguous bytes received from the start.
     #[prost(uint64, tag = "2")]
     pub received: u64,
     /// `sent_at` of the part.
@@ -196,13 +199,13 @@
     pub sent_at: u64,
 }
 
-/// Asks the leader to replicate to the sender.
+/// Request of an observer to the leader for replication to it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Observe {
     /// Index of the sender's last entry.
     #[prost(uint64, tag = "1")]
     pub last_index: u64,
-    /// Whether the sender keeps its log on a disk.
+    /// Whether the sender stores its log on disk.
     #[prost(bool, tag = "2")]
     pub durable: bool,
     /// Name of the sender's instance.
--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -1,7 +1,8 @@
-//! Agreement under seeded schedules of loss, delay, reordering, repetition,
-//! pauses, crashes with only synced bytes kept, restarts and member changes.
+//! Simulated Raft groups under seeded schedules of message loss, delay, reordering and
+//! duplication, partitions, paused processes, clock skew, crashes that keep only synced
+//! data, restarts and membership changes.
 //!
-//! A longer run: `SCHEDULES=100000 cargo test --release --test consensus`.
+//! For a longer run: `SCHEDULES=100000 cargo test --release --test consensus`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +17,7 @@
 const LENGTH: u64 = 12_000_000;
 const START: u64 = 10_000_000;
 
-/// What one replica has synced.
+/// Synced state of one replica, which survives a crash.
 #[derive(Clone, Default)]
 struct Disk {
     hard: Hard,
@@ -52,7 +53,7 @@
     id: u64,
     replica: Option<Replica>,
     disk: Disk,
-    /// Parts in a thousand by which its clock is fast.
+    /// Clock skew in parts per thousand; positive if the clock runs fast.
     skew: i64,
     offset: u64,
     paused_until: u64,
@@ -117,7 +118,8 @@
         for at in 0..cluster.hosts.len() {
             cluster.start(at);
         }
-        // The last host is a spare; the first founds the group at its first tick.
+        // The first host founds the group at its first tick. The last one is not among
+        // the founding voters.
         cluster
     }
 
@@ -131,8 +133,8 @@
         host.replica = Some(Replica::new(host.id, &name, true, stored, now, seed));
     }
 
-    /// Stores, sends and applies what a replica has ready, as a driver does. With
-    /// `crash`, the process dies after a step of it.
+    /// Stores, sends and applies what a replica has ready, as the driver does. Sometimes
+    /// the process crashes right before or after the data is stored.
     fn settle(&mut self, at: usize) {
         loop {
             let now = self.hosts[at].clock(self.time);
@@ -265,7 +267,7 @@
             return;
         };
         if self.hosts[at].paused_until > self.time {
-            // A paused process finds it in its socket when it goes on.
+            // Messages to a paused process wait in its socket until it resumes.
             self.sent += 1;
             let later = self.hosts[at].paused_until + self.sent % 1_000;
             self.network.insert((later, self.sent), message);
@@ -290,7 +292,8 @@
             }
             return;
         };
-        // The founder tries until its first entry is stored, as the driver does.
+        // A founder that crashed before its first entry was stored tries again, as the
+        // driver does.
         if at == 0 && replica.is_blank() {
             replica.found(now, founders);
         }
@@ -324,8 +327,7 @@
         }
     }
 
-    // One host, one direction or two halves.
-    // The leader gives up its term, as on a planned stop.
+    // Transfers leadership, as on a planned stop.
     fn resign(&mut self) {
         for at in 0..self.hosts.len() {
             let now = self.hosts[at].clock(self.time);
@@ -339,6 +341,7 @@
         }
     }
 
+    // Cuts the links between two random sets of hosts, in one direction or both.
     fn partition(&mut self) {
         let ids: Vec<u64> = self.hosts.iter().map(|h| h.id).collect();
         let side: Vec<u64> = ids.iter().copied().filter(|_| self.rng.random()).collect();
@@ -368,7 +371,7 @@
                 voters.push(one);
             }
             if voters.len() >= 2 {
-                // Refused while another change is under way.
+                // Refused while another change is not committed.
                 let _ = replica.propose_voters(voters);
             }
         }
@@ -384,7 +387,8 @@
                 let known = *self.leaders.entry(replica.term()).or_insert(host.id);
                 assert_eq!(known, host.id, "seed {seed}: one leader a term");
             }
-            // A paused process checks its clock before it acts.
+            // Also checked for paused hosts: a process reads its clock again before it
+            // acts on the lease.
             if replica.is_leased(host.clock(self.time)) {
                 leased += 1;
                 let newest = self.committed.keys().next_back().copied().unwrap_or(0);
@@ -398,7 +402,7 @@
         assert!(leased <= 1, "seed {seed}: {leased} leaders hold a lease");
     }
 
-    /// Heals everything and requires that the group goes on.
+    /// Ends all faults and checks that the group then makes progress.
     fn recover(&mut self, seed: u64) {
         self.cut.clear();
         self.loss = 0;
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -1,4 +1,5 @@
-//! What a leader sends to a follower that lost messages.
+//! Replication to followers that lose messages, leadership transfer and split votes, in
+//! a simulated group of three.
 
 use std::collections::VecDeque;
 
@@ -13,13 +14,13 @@
 struct Group {
     now: u64,
     replicas: Vec<Replica>,
-    /// Messages on their way, with the time of their arrival.
+    /// Messages in flight, with their time of arrival.
     network: VecDeque<(u64, Raft)>,
     cut: Option<u64>,
     entry_bytes_to_cut: usize,
-    /// Milliseconds between looks at the time, for what is not a message.
+    /// Interval between ticks of the replicas, in milliseconds.
     tick_every: u64,
-    /// What each replica decided in elections.
+    /// Election events of each replica.
     ballots: Vec<Vec<Ballot>>,
 }
 
@@ -66,7 +67,7 @@
         panic!("the founder does not lead");
     }
 
-    // One millisecond; messages take five.
+    // Simulates one millisecond. Messages take five milliseconds.
     fn step(&mut self) {
         self.now += 1_000;
         let now = Moment(self.now);
@@ -126,7 +127,7 @@
         last,
         "the follower has caught up"
     );
-    // 350 entries were lost and 750 are new; as much again is allowed for probing.
+    // 350 entries were lost and 750 are new. The same amount again is allowed for probing.
     let due = (350 + 750) * ENTRY_BYTES;
     assert!(
         group.entry_bytes_to_cut <= 2 * due,
@@ -139,7 +140,7 @@
 fn a_silent_follower_has_a_bounded_backlog() {
     let mut group = Group::new();
     group.run(200, 2);
-    // Nothing of the follower comes back, as on a link that is cut one way.
+    // The follower's replies are lost, as on a link that is cut in one direction.
     let mut sent = 0;
     for at in 0..900_u64 {
         if at % 2 == 0 {
@@ -151,7 +152,7 @@
         group.step();
         sent += group.entry_bytes_to_cut - before;
     }
-    // 450 entries are due; without an answer not all of them may be under way.
+    // Of 450 entries, not all may be in flight without a reply.
     assert!(
         sent <= 300 * ENTRY_BYTES,
         "{sent} bytes are under way unanswered"
@@ -190,7 +191,7 @@
         .filter(|raft| matches!(raft.body, Some(RaftBody::Yield(_))))
         .collect();
     assert_eq!(words.len(), 1);
-    // It is lost at first, and another election has been held when it comes.
+    // The message is delayed until another election has been held.
     for _ in 0..3_000 {
         group.step();
     }
@@ -206,11 +207,12 @@
     assert_eq!(group.replicas[0].term(), term, "no further election");
 }
 
-// Two candidates that stand at once split the votes. They must not wait for a whole
-// election timeout before they stand again.
+// Two voters that become candidates at once split the votes. Waiting for a whole election
+// timeout before the next candidacy would leave the group without a leader for too long.
 #[test]
 fn a_split_vote_costs_little() {
-    // A timeout, half of one, and two rounds of votes of up to 50 ms.
+    // One election timeout, half of one until the next candidacy, and two rounds of votes
+    // of up to 50 ms each.
     const LONGEST_MS: u64 = ELECTION_MAX.as_millis() as u64 + 600;
     for seed in 0..300 {
         let mut group = Group::seeded(seed);
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,4 +1,5 @@
-//! The data folder: torn tails, damage, locks, restarts after many changes.
+//! Recovery of the data folder after incomplete writes, damage, crashes and many changes,
+//! and its locking and permissions.
 
 use std::fs::OpenOptions;
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -139,7 +140,7 @@
         let snapshot = Snapshot { index: 3, term: 2, voters: Vec::new(), data: Bytes::from_static(b"state") };
         wal.store(&Ready { snapshot: Some(snapshot.clone()), ..Ready::default() }).expect("stored");
         drop(wal);
-        // The crash came between the snapshot and the new log.
+        // Simulates a crash after the snapshot was written, before the log was replaced.
         std::fs::write(temp.log(), before).expect("writes");
         let (_, stored) = temp.open().expect("opens");
         assert_eq!(stored.snapshot, snapshot);
