--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -8,50 +8,51 @@
 
 use super::ballot::{Ballot, Doubt};
 use super::progress::Progress;
-use super::replica::{ELECTION_MAX, ELECTION_MIN, Lead, Replica, Role};
+use super::replica::{ELECTION_TIMEOUT_MAX, ELECTION_TIMEOUT_MIN, LeaderState, Replica, Role};
 use crate::core::time::{Moment, with_clock_margin};
-use crate::wire::{Entry, RaftBody, Vote, VoteReply, Yield};
+use crate::wire::{Entry, RaftBody, TimeoutNow, Vote, VoteReply};
 
 /// Shortest time after which a candidate without a majority starts another election.
 /// A round of votes takes this long if each disk sync takes 120 ms, which is thirty
 /// times the usual.
-const STAND_AGAIN_MIN: Duration = Duration::from_millis(250);
+const CANDIDATE_TIMEOUT_MIN: Duration = Duration::from_millis(250);
 /// Longest such time. The range lets candidates that split the vote draw different
 /// times.
-const STAND_AGAIN_MAX: Duration = Duration::from_millis(500);
+const CANDIDATE_TIMEOUT_MAX: Duration = Duration::from_millis(500);
 
 impl Replica {
-    pub(super) fn reset_election(&mut self, now: Moment) {
-        self.election_at = now + self.draw(ELECTION_MIN, ELECTION_MAX);
+    pub(super) fn reset_election_timeout(&mut self, now: Moment) {
+        self.election_at = now + self.random_duration(ELECTION_TIMEOUT_MIN, ELECTION_TIMEOUT_MAX);
     }
 
-    fn draw(&mut self, least: Duration, most: Duration) -> Duration {
-        let span = (most - least).as_micros() as u64;
-        least + Duration::from_micros(self.rng.random_range(0..=span))
+    fn random_duration(&mut self, min: Duration, max: Duration) -> Duration {
+        let span = (max - min).as_micros() as u64;
+        min + Duration::from_micros(self.rng.random_range(0..=span))
     }
 
     pub(super) fn become_follower(&mut self, now: Moment, term: u64) {
         if term > self.hard.term {
-            self.set_hard(term, 0);
+            self.set_hard_state(term, 0);
             self.leader = None;
         }
         self.role = Role::Follower;
-        self.reset_election(now);
+        self.reset_election_timeout(now);
     }
 
     pub(super) fn campaign(&mut self, now: Moment, pre: bool) {
-        self.stand(now, pre, false);
+        self.start_election(now, pre, false);
     }
 
-    fn stand(&mut self, now: Moment, pre: bool, yielded: bool) {
+    fn start_election(&mut self, now: Moment, pre: bool, leader_transfer: bool) {
         self.leader = None;
         let own = BTreeSet::from([self.id]);
         if pre {
-            self.reset_election(now);
+            self.reset_election_timeout(now);
             self.role = Role::PreCandidate(own);
         } else {
-            self.election_at = now + self.draw(STAND_AGAIN_MIN, STAND_AGAIN_MAX);
-            self.set_hard(self.hard.term + 1, self.id);
+            self.election_at =
+                now + self.random_duration(CANDIDATE_TIMEOUT_MIN, CANDIDATE_TIMEOUT_MAX);
+            self.set_hard_state(self.hard.term + 1, self.id);
             self.role = Role::Candidate(own);
         }
         let vote = Vote {
@@ -59,7 +60,7 @@
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
             for_term: self.hard.term + u64::from(pre),
-            yielded,
+            leader_transfer,
         };
         self.ready.ballots.push(Ballot::Stood {
             pre,
@@ -78,10 +79,10 @@
     ///
     /// See "leadership transfer extension" in Ongaro's dissertation, section 3.10.
     pub fn resign(&mut self, now: Moment) {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return;
         };
-        let heir = lead
+        let successor = leader
             .progress
             .iter()
             .filter(|(id, _)| self.is_voting(**id))
@@ -90,18 +91,18 @@
         let term = self.hard.term;
         self.become_follower(now, term);
         self.leader = None;
-        self.election_at = now + ELECTION_MAX * 2;
-        if let Some(heir) = heir {
-            self.send(heir, RaftBody::Yield(Yield {}));
+        self.election_at = now + ELECTION_TIMEOUT_MAX * 2;
+        if let Some(successor) = successor {
+            self.send(successor, RaftBody::TimeoutNow(TimeoutNow {}));
         }
     }
 
     // A delayed message is harmless: by then its term has passed, and a replica that
     // voted in the next term cannot vote in it again.
-    pub(super) fn step_yield(&mut self, now: Moment, from: u64, term: u64) {
+    pub(super) fn step_timeout_now(&mut self, now: Moment, from: u64, term: u64) {
         if term == self.hard.term && self.is_voter() && self.is_voting(from) && !self.is_leader() {
-            self.contact = Moment::ZERO;
-            self.stand(now, false, true);
+            self.leader_heard_at = Moment::ZERO;
+            self.start_election(now, false, true);
         }
     }
 
@@ -116,9 +117,10 @@
     pub(super) fn step_vote(&mut self, now: Moment, from: u64, term: u64, vote: Vote) {
         // A replica in contact with its leader ignores vote requests, so that a replica
         // returning from a partition cannot depose the leader.
-        let hears_leader = self.is_leader() || now < self.contact + with_clock_margin(ELECTION_MIN);
-        if hears_leader && (self.is_leader() || !vote.yielded) {
-            self.note_vote(from, vote, Some(Doubt::HearsLeader));
+        let hears_leader = self.is_leader()
+            || now < self.leader_heard_at + with_clock_margin(ELECTION_TIMEOUT_MIN);
+        if hears_leader && (self.is_leader() || !vote.leader_transfer) {
+            self.record_vote_request(from, vote, Some(Doubt::HearsLeader));
             return;
         }
         if !vote.pre && term > self.hard.term {
@@ -126,7 +128,7 @@
         }
         let current = (self.log.last_term(), self.log.last_index());
         let up_to_date = (vote.last_term, vote.last_index) >= current;
-        let is_free = if vote.pre {
+        let vote_available = if vote.pre {
             vote.for_term > self.hard.term
         } else {
             term == self.hard.term && (self.hard.vote == 0 || self.hard.vote == from)
@@ -135,22 +137,22 @@
         // replica number proceeds. If both did, they would split the vote.
         let own = (self.log.last_term(), self.log.last_index(), self.id);
         let is_rival = vote.pre && matches!(self.role, Role::PreCandidate(_));
-        let gives_way = (vote.last_term, vote.last_index, from) > own;
-        let doubt = match (up_to_date, is_free) {
+        let outranked = (vote.last_term, vote.last_index, from) > own;
+        let refusal = match (up_to_date, vote_available) {
             (false, _) => Some(Doubt::Behind),
             (true, false) => Some(Doubt::Voted),
-            (true, true) if is_rival && !gives_way => Some(Doubt::StandsItself),
+            (true, true) if is_rival && !outranked => Some(Doubt::StandsItself),
             (true, true) => None,
         };
-        if is_rival && doubt.is_none() {
+        if is_rival && refusal.is_none() {
             self.role = Role::Follower;
-            self.reset_election(now);
+            self.reset_election_timeout(now);
         }
-        self.note_vote(from, vote, doubt);
-        let granted = doubt.is_none();
+        self.record_vote_request(from, vote, refusal);
+        let granted = refusal.is_none();
         if granted && !vote.pre {
-            self.set_hard(self.hard.term, from);
-            self.reset_election(now);
+            self.set_hard_state(self.hard.term, from);
+            self.reset_election_timeout(now);
         }
         let reply = VoteReply {
             pre: vote.pre,
@@ -160,7 +162,7 @@
         self.send(from, RaftBody::VoteReply(reply));
     }
 
-    fn note_vote(&mut self, candidate: u64, vote: Vote, refused: Option<Doubt>) {
+    fn record_vote_request(&mut self, candidate: u64, vote: Vote, refused: Option<Doubt>) {
         self.ready.ballots.push(Ballot::Asked {
             candidate,
             pre: vote.pre,
@@ -207,7 +209,7 @@
                 (v.replica, progress)
             })
             .collect();
-        self.role = Role::Leader(Lead {
+        self.role = Role::Leader(LeaderState {
             progress,
             heartbeat_at: now,
             since: now,
@@ -225,7 +227,7 @@
     }
 
     // A leader that was removed from the group steps down once the change is committed.
-    pub(super) fn leave_if_removed(&mut self, now: Moment) {
+    pub(super) fn step_down_if_removed(&mut self, now: Moment) {
         if self.commit >= self.voters_index && !self.is_voter() {
             let term = self.hard.term;
             self.become_follower(now, term);
--- a/src/core/consensus/follow.rs
+++ b/src/core/consensus/follow.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 use super::log::Snapshot;
-use super::replica::{ELECTION_MAX, Replica, Role};
+use super::replica::{ELECTION_TIMEOUT_MAX, Replica, Role};
 use super::transfer::Incoming;
 use crate::core::time::Moment;
 use crate::wire::{Append, AppendReply, Observe, RaftBody, SnapshotPart, SnapshotReply};
 
 /// Interval at which observers request replication.
-const OBSERVE_EVERY: Duration = Duration::from_millis(1_000);
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Replica {
     pub(super) fn tick_observer(&mut self, now: Moment) {
         if now < self.observe_at {
             return;
         }
-        self.observe_at = now + OBSERVE_EVERY;
-        if now.since(self.contact) > ELECTION_MAX {
+        self.observe_at = now + OBSERVE_INTERVAL;
+        if now.since(self.leader_heard_at) > ELECTION_TIMEOUT_MAX {
             self.leader = None;
         }
         // Sent to every peer, since a new leader does not know its observers.
@@ -35,7 +35,7 @@
         self.send(to, RaftBody::Observe(observe));
     }
 
-    pub(super) fn follow(&mut self, now: Moment, from: u64, term: u64) -> bool {
+    pub(super) fn follow_leader(&mut self, now: Moment, from: u64, term: u64) -> bool {
         if term < self.hard.term {
             let reply = AppendReply {
                 ok: false,
@@ -47,22 +47,22 @@
         }
         self.role = Role::Follower;
         self.leader = Some(from);
-        self.contact = now;
-        self.reset_election(now);
+        self.leader_heard_at = now;
+        self.reset_election_timeout(now);
         true
     }
 
     pub(super) fn step_append(&mut self, now: Moment, from: u64, term: u64, append: Append) {
-        if !self.follow(now, from, term) {
+        if !self.follow_leader(now, from, term) {
             return;
         }
         let sent_at = append.sent_at;
-        let (ok, index) = self.take_entries(append);
+        let (ok, index) = self.accept_entries(append);
         let reply = AppendReply { ok, index, sent_at };
         self.send(from, RaftBody::AppendReply(reply));
     }
 
-    pub(super) fn take_entries(&mut self, append: Append) -> (bool, u64) {
+    pub(super) fn accept_entries(&mut self, append: Append) -> (bool, u64) {
         if append.prev_index < self.commit {
             let end = append.prev_index + append.entries.len() as u64;
             if end <= self.commit {
@@ -93,7 +93,10 @@
     }
 
     pub(super) fn truncate(&mut self, index: u64) {
-        assert!(index > self.commit, "a committed entry never changes");
+        assert!(
+            index > self.commit,
+            "committed entry {index} must not be truncated"
+        );
         self.log.truncate(index);
         self.ready.entries.retain(|entry| entry.index < index);
         let from = self.ready.truncate_from.map_or(index, |at| at.min(index));
@@ -114,7 +117,7 @@
     }
 
     pub(super) fn step_snapshot(&mut self, now: Moment, from: u64, term: u64, part: &SnapshotPart) {
-        if !self.follow(now, from, term) {
+        if !self.follow_leader(now, from, term) {
             return;
         }
         if part.index <= self.commit {
@@ -144,7 +147,7 @@
         let Some(snapshot) = incoming.finish() else {
             return;
         };
-        self.install(snapshot);
+        self.install_snapshot(snapshot);
         let reply = AppendReply {
             ok: true,
             index: self.commit,
@@ -153,9 +156,9 @@
         self.send(from, RaftBody::AppendReply(reply));
     }
 
-    pub(super) fn install(&mut self, snapshot: Snapshot) {
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
         self.commit = snapshot.index;
-        self.handed = snapshot.index;
+        self.delivered = snapshot.index;
         self.stable = snapshot.index;
         self.snapshot_crc = crc32fast::hash(&snapshot.data);
         self.ready.entries.clear();
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -16,5 +16,6 @@
 pub use log::{Log, Snapshot};
 pub use progress::Progress;
 pub use replica::{
-    ELECTION_MAX, ELECTION_MIN, HEARTBEAT_EVERY, Hard, NotLeader, Ready, Replica, Stored,
+    ELECTION_TIMEOUT_MAX, ELECTION_TIMEOUT_MIN, HEARTBEAT_INTERVAL, HardState, NotLeader, Ready,
+    Replica, Stored,
 };
--- a/src/core/consensus/progress.rs
+++ b/src/core/consensus/progress.rs
@@ -14,7 +14,7 @@
     /// Highest index up to which the replica's log is known to match the leader's.
     pub matched: u64,
     /// Index of the next entry to send.
-    pub next: u64,
+    pub next_index: u64,
     /// Time at which the latest acknowledged request was sent.
     pub acked_at: Moment,
     /// Time of the latest message received from the replica.
@@ -22,7 +22,7 @@
     /// Time of the latest message sent to the replica.
     pub sent_at: Moment,
     /// Latest commit index sent to the replica.
-    pub told_commit: u64,
+    pub sent_commit: u64,
     /// Snapshot being transferred: its index and the number of bytes acknowledged.
     pub snapshot: Option<(u64, u64)>,
     /// Whether the leader is looking for the matching index, with one message of entries
@@ -34,36 +34,36 @@
 
 /// Largest number of unacknowledged entries in flight to one replica. Covers about four
 /// round trips at a thousand entries per second.
-const IN_FLIGHT_MAX: u64 = 256;
+const IN_FLIGHT_MAX_ENTRIES: u64 = 256;
 /// Time after which an unanswered probe is sent again.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Progress {
     /// Makes the progress of a replica whose log is not known yet. Entries are sent from
     /// `next` on.
-    pub fn new(name: &str, next: u64, now: Moment) -> Self {
+    pub fn new(name: &str, next_index: u64, now: Moment) -> Self {
         Self {
             name: name.to_owned(),
-            next,
+            next_index,
             heard_at: now,
             ..Self::default()
         }
     }
 
     /// Returns whether flow control lets entries be sent now.
-    pub fn takes_entries(&self, now: Moment) -> bool {
+    pub fn can_send_entries(&self, now: Moment) -> bool {
         if self.probing {
             return self
                 .probed_at
                 .is_none_or(|at| now.since(at) >= PROBE_TIMEOUT);
         }
-        self.next.saturating_sub(self.matched + 1) < IN_FLIGHT_MAX
+        self.next_index.saturating_sub(self.matched + 1) < IN_FLIGHT_MAX_ENTRIES
     }
 
     /// Records that the replica's log matches up to `index`.
     pub fn record_match(&mut self, index: u64) {
         self.matched = self.matched.max(index);
-        self.next = self.next.max(self.matched + 1);
+        self.next_index = self.next_index.max(self.matched + 1);
         self.snapshot = None;
         self.probing = false;
         self.probed_at = None;
@@ -79,7 +79,7 @@
         if self.probing && self.probed_at.is_some_and(|at| at != sent_at) {
             return false;
         }
-        self.next = (hint + 1).clamp(self.matched + 1, self.next.max(self.matched + 1));
+        self.next_index = (hint + 1).clamp(self.matched + 1, self.next_index.max(self.matched + 1));
         self.snapshot = None;
         self.probing = true;
         self.probed_at = None;
--- a/src/core/consensus/replica.rs
+++ b/src/core/consensus/replica.rs
@@ -16,16 +16,16 @@
 use crate::wire::{Entry, Raft, RaftBody, Voter};
 
 /// Interval between a leader's heartbeats.
-pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(120);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
 /// Shortest election timeout. A replica grants no vote within this time of hearing from
 /// a leader, on which the leader lease relies.
-pub const ELECTION_MIN: Duration = Duration::from_millis(500);
+pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 /// Longest election timeout.
-pub const ELECTION_MAX: Duration = Duration::from_millis(1_000);
+pub const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(1_000);
 
 /// Raft's hard state, which must be synced before messages are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hard {
+pub struct HardState {
     /// Latest term that the replica has seen.
     pub term: u64,
     /// Replica that got this replica's vote in `term`, or 0 for none.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
     /// Stored term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// Latest stored snapshot, or the default one if there is none.
     pub snapshot: Snapshot,
     /// Log entries after the snapshot.
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub struct Ready {
     /// Term and vote to store.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// Snapshot received from another replica, to be stored and loaded into the state
     /// machine.
     pub snapshot: Option<Snapshot>,
@@ -77,14 +77,15 @@
     Follower,
     PreCandidate(BTreeSet<u64>),
     Candidate(BTreeSet<u64>),
-    Leader(Lead),
+    Leader(LeaderState),
 }
 
 #[derive(Debug)]
-pub(super) struct Lead {
+pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<u64, Progress>,
     pub(super) heartbeat_at: Moment,
     pub(super) since: Moment,
+    /// Index of the first entry of the leader's term.
     pub(super) first_index: u64,
 }
 
@@ -97,17 +98,20 @@
     pub(super) id: u64,
     pub(super) name: String,
     pub(super) durable: bool,
-    pub(super) hard: Hard,
+    pub(super) hard: HardState,
     pub(super) role: Role,
     pub(super) log: Log,
     pub(super) snapshot_crc: u32,
     pub(super) voters: Vec<Voter>,
+    /// Index of the entry or snapshot that set `voters`.
     pub(super) voters_index: u64,
     pub(super) commit: u64,
-    pub(super) handed: u64,
+    /// Index of the last entry returned to the driver for applying.
+    pub(super) delivered: u64,
+    /// Index up to which the own log is known to be stored.
     pub(super) stable: u64,
     pub(super) leader: Option<u64>,
-    pub(super) contact: Moment,
+    pub(super) leader_heard_at: Moment,
     pub(super) election_at: Moment,
     pub(super) observe_at: Moment,
     pub(super) rng: ChaCha8Rng,
@@ -150,11 +154,11 @@
             voters: Vec::new(),
             voters_index: 0,
             commit,
-            handed: commit,
+            delivered: commit,
             stable: log.last_index(),
             log,
             leader: None,
-            contact: now,
+            leader_heard_at: now,
             election_at: now,
             observe_at: now,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -162,7 +166,7 @@
             ready: Ready::default(),
         };
         replica.refresh_voters();
-        replica.reset_election(now);
+        replica.reset_election_timeout(now);
         replica
     }
 
@@ -216,7 +220,7 @@
     /// leads.
     pub fn progress(&self) -> impl Iterator<Item = (u64, &Progress)> {
         let progress = match &self.role {
-            Role::Leader(lead) => Some(&lead.progress),
+            Role::Leader(leader) => Some(&leader.progress),
             _ => None,
         };
         progress.into_iter().flatten().map(|(&id, p)| (id, p))
@@ -228,7 +232,7 @@
         if !self.is_blank() || self.log.last_index() > 0 {
             return;
         }
-        self.set_hard(1, 0);
+        self.set_hard_state(1, 0);
         self.append(Entry {
             term: 1,
             index: 1,
@@ -236,24 +240,25 @@
             voters,
         });
         self.election_at = now;
-        self.contact = Moment::ZERO;
+        self.leader_heard_at = Moment::ZERO;
     }
 
     /// Returns whether this replica leads and no other replica can: it holds an
     /// unexpired leader lease and has committed an entry of its own term.
     pub fn is_leased(&self, now: Moment) -> bool {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let margin = with_clock_margin(ELECTION_MIN) - ELECTION_MIN;
-        self.commit >= lead.first_index && now < self.quorum_contact(now) + (ELECTION_MIN - margin)
+        let margin = with_clock_margin(ELECTION_TIMEOUT_MIN) - ELECTION_TIMEOUT_MIN;
+        self.commit >= leader.first_index
+            && now < self.quorum_contact(now) + (ELECTION_TIMEOUT_MIN - margin)
     }
 
     /// Returns the time at which this replica became leader, or `None` if it does not
     /// lead.
     pub const fn leader_since(&self) -> Option<Moment> {
         match &self.role {
-            Role::Leader(lead) => Some(lead.since),
+            Role::Leader(leader) => Some(leader.since),
             _ => None,
         }
     }
@@ -291,13 +296,13 @@
         let refused = NotLeader {
             leader: self.leader,
         };
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return Err(refused);
         };
         let old: BTreeSet<u64> = self.voters.iter().map(|v| v.replica).collect();
         let new: BTreeSet<u64> = voters.iter().map(|v| v.replica).collect();
         let changes = old.symmetric_difference(&new).count();
-        let settled = self.commit >= self.voters_index && self.commit >= lead.first_index;
+        let settled = self.commit >= self.voters_index && self.commit >= leader.first_index;
         if changes != 1 || new.is_empty() || !settled {
             return Err(refused);
         }
@@ -364,7 +369,7 @@
                 self.step_snapshot_reply(now, from, message.term, reply);
             }
             RaftBody::Observe(observe) => self.step_observe(now, from, &observe),
-            RaftBody::Yield(_) => self.step_yield(now, from, message.term),
+            RaftBody::TimeoutNow(_) => self.step_timeout_now(now, from, message.term),
         }
     }
 
@@ -377,11 +382,11 @@
 
     fn take_committed(&mut self) -> Vec<Entry> {
         let mut committed = Vec::new();
-        while self.handed < self.commit {
-            let Some(entry) = self.log.get(self.handed + 1) else {
+        while self.delivered < self.commit {
+            let Some(entry) = self.log.get(self.delivered + 1) else {
                 break;
             };
-            self.handed += 1;
+            self.delivered += 1;
             committed.push(entry.clone());
         }
         committed
@@ -428,11 +433,11 @@
     }
 
     /// Compacts the log with `data`, a snapshot of the state after the entry at `index`.
-    /// Returns the snapshot to store, or `None` if the entry has not been handed out for
+    /// Returns the snapshot to store, or `None` if the entry has not been returned for
     /// applying or is already covered by a snapshot.
     pub fn compact(&mut self, index: u64, data: Bytes) -> Option<Snapshot> {
         let term = self.log.term_at(index)?;
-        if index > self.handed || index <= self.log.snapshot().index {
+        if index > self.delivered || index <= self.log.snapshot().index {
             return None;
         }
         let snapshot = Snapshot {
@@ -460,8 +465,8 @@
         self.voters = voters.to_vec();
     }
 
-    pub(super) fn set_hard(&mut self, term: u64, vote: u64) {
-        self.hard = Hard { term, vote };
+    pub(super) fn set_hard_state(&mut self, term: u64, vote: u64) {
+        self.hard = HardState { term, vote };
         self.ready.hard = Some(self.hard);
     }
 
--- a/src/core/consensus/replicate.rs
+++ b/src/core/consensus/replicate.rs
@@ -3,38 +3,38 @@
 use std::time::Duration;
 
 use super::progress::Progress;
-use super::replica::{ELECTION_MAX, HEARTBEAT_EVERY, Replica, Role};
-use super::transfer::part_of;
+use super::replica::{ELECTION_TIMEOUT_MAX, HEARTBEAT_INTERVAL, Replica, Role};
+use super::transfer::part_at;
 use crate::core::time::Moment;
 use crate::wire::{Append, AppendReply, Observe, RaftBody, SnapshotReply};
 
 /// Interval between heartbeats to an observer.
-const OBSERVER_HEARTBEAT_EVERY: Duration = Duration::from_millis(1_000);
+const OBSERVER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time without a message after which a leader drops an observer.
-const OBSERVER_SILENCE_MAX: Duration = Duration::from_secs(10);
+const OBSERVER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which an unanswered part of a snapshot is sent again.
 const PART_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Approximate limit for the entries in one message.
-const APPEND_BYTES: usize = 256 << 10;
+const APPEND_MAX_BYTES: usize = 256 << 10;
 
 impl Replica {
     pub(super) fn tick_leader(&mut self, now: Moment) {
         let contact = self.quorum_contact(now);
-        let Role::Leader(lead) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if now.since(contact.max(lead.since)) > ELECTION_MAX {
+        if now.since(contact.max(leader.since)) > ELECTION_TIMEOUT_MAX {
             let term = self.hard.term;
             self.become_follower(now, term);
             self.leader = None;
             return;
         }
         let voters = &self.voters;
-        lead.progress.retain(|id, p| {
-            now.since(p.heard_at) < OBSERVER_SILENCE_MAX || voters.iter().any(|v| v.replica == *id)
+        leader.progress.retain(|id, p| {
+            now.since(p.heard_at) < OBSERVER_TIMEOUT || voters.iter().any(|v| v.replica == *id)
         });
-        if now >= lead.heartbeat_at {
-            lead.heartbeat_at = now + HEARTBEAT_EVERY;
+        if now >= leader.heartbeat_at {
+            leader.heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.replicate(now, true);
         }
     }
@@ -42,18 +42,18 @@
     pub(super) fn step_observe(&mut self, now: Moment, from: u64, observe: &Observe) {
         let next = self.log.last_index() + 1;
         let is_voting = self.is_voting(from);
-        let Role::Leader(lead) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let known = lead.progress.contains_key(&from);
-        let progress = lead
+        let known = leader.progress.contains_key(&from);
+        let progress = leader
             .progress
             .entry(from)
             .or_insert_with(|| Progress::new(&observe.name, next, now));
         progress.heard_at = now;
         progress.durable = observe.durable;
         if !known && !is_voting {
-            progress.next = (observe.last_index + 1).min(next);
+            progress.next_index = (observe.last_index + 1).min(next);
             self.send_append(now, from, true);
         }
     }
@@ -61,7 +61,7 @@
     /// Returns the latest time such that a quorum, including this leader, has answered
     /// requests sent at or after it.
     pub(super) fn quorum_contact(&self, now: Moment) -> Moment {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return Moment::ZERO;
         };
         let mut acks: Vec<Moment> = self
@@ -71,7 +71,8 @@
                 if v.replica == self.id {
                     return now;
                 }
-                lead.progress
+                leader
+                    .progress
                     .get(&v.replica)
                     .map_or(Moment::ZERO, |p| p.acked_at)
             })
@@ -81,18 +82,19 @@
     }
 
     pub(super) fn replicate(&mut self, now: Moment, heartbeat: bool) {
-        let Role::Leader(lead) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let last = self.log.last_index();
         for voter in &self.voters {
             if voter.replica != self.id {
-                lead.progress
+                leader
+                    .progress
                     .entry(voter.replica)
                     .or_insert_with(|| Progress::new(&voter.name, last + 1, now));
             }
         }
-        let targets: Vec<u64> = lead.progress.keys().copied().collect();
+        let targets: Vec<u64> = leader.progress.keys().copied().collect();
         for id in targets {
             self.send_append(now, id, heartbeat);
         }
@@ -104,37 +106,37 @@
         let first = self.log.first_index();
         let commit = self.commit;
         let is_voting = self.is_voting(to);
-        let Role::Leader(lead) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(progress) = lead.progress.get_mut(&to) else {
+        let Some(progress) = leader.progress.get_mut(&to) else {
             return;
         };
-        if progress.next < first {
-            self.send_part(now, to);
+        if progress.next_index < first {
+            self.send_snapshot_part(now, to);
             return;
         }
         let is_due = if is_voting {
             heartbeat
         } else {
-            heartbeat && now.since(progress.sent_at) >= OBSERVER_HEARTBEAT_EVERY
-                || progress.told_commit < commit
+            heartbeat && now.since(progress.sent_at) >= OBSERVER_HEARTBEAT_INTERVAL
+                || progress.sent_commit < commit
         };
-        let takes_entries = progress.next <= last && progress.takes_entries(now);
-        if !takes_entries && !is_due {
+        let sends_entries = progress.next_index <= last && progress.can_send_entries(now);
+        if !sends_entries && !is_due {
             return;
         }
-        progress.told_commit = commit;
-        let prev_index = progress.next - 1;
-        let entries = if takes_entries {
-            self.log.slice(progress.next, APPEND_BYTES)
+        progress.sent_commit = commit;
+        let prev_index = progress.next_index - 1;
+        let entries = if sends_entries {
+            self.log.slice(progress.next_index, APPEND_MAX_BYTES)
         } else {
             Vec::new()
         };
-        if progress.probing && takes_entries {
+        if progress.probing && sends_entries {
             progress.probed_at = Some(now);
         } else if !progress.probing {
-            progress.next += entries.len() as u64;
+            progress.next_index += entries.len() as u64;
         }
         progress.sent_at = now;
         let append = Append {
@@ -148,13 +150,13 @@
         self.send(to, RaftBody::Append(append));
     }
 
-    pub(super) fn send_part(&mut self, now: Moment, to: u64) {
+    pub(super) fn send_snapshot_part(&mut self, now: Moment, to: u64) {
         let snapshot = self.log.snapshot();
         let index = snapshot.index;
-        let Role::Leader(lead) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(progress) = lead.progress.get_mut(&to) else {
+        let Some(progress) = leader.progress.get_mut(&to) else {
             return;
         };
         let offset = match progress.snapshot {
@@ -168,7 +170,7 @@
         };
         progress.snapshot = Some((index, offset));
         progress.sent_at = now;
-        let part = part_of(snapshot, self.snapshot_crc, offset, now.0);
+        let part = part_at(snapshot, self.snapshot_crc, offset, now.0);
         self.send(to, RaftBody::Snapshot(part));
     }
 
@@ -180,13 +182,13 @@
         term: u64,
         sent_at: u64,
     ) -> Option<&mut Progress> {
-        let Role::Leader(lead) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return None;
         };
         if term != self.hard.term {
             return None;
         }
-        let progress = lead.progress.get_mut(&from)?;
+        let progress = leader.progress.get_mut(&from)?;
         progress.heard_at = now;
         progress.acked_at = progress.acked_at.max(Moment(sent_at));
         Some(progress)
@@ -216,7 +218,7 @@
     }
 
     pub(super) fn advance_commit(&mut self, now: Moment) {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return;
         };
         let mut matched: Vec<u64> = self
@@ -226,7 +228,7 @@
                 if v.replica == self.id {
                     return self.stable;
                 }
-                lead.progress.get(&v.replica).map_or(0, |p| p.matched)
+                leader.progress.get(&v.replica).map_or(0, |p| p.matched)
             })
             .collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
@@ -236,7 +238,7 @@
         if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
             self.commit = index;
             self.replicate(now, true);
-            self.leave_if_removed(now);
+            self.step_down_if_removed(now);
         }
     }
 
@@ -254,7 +256,7 @@
         if reply.index == index && progress.snapshot.is_some() {
             progress.snapshot = Some((index, reply.received));
             progress.sent_at = Moment::ZERO;
-            self.send_part(now, from);
+            self.send_snapshot_part(now, from);
         }
     }
 }
--- a/src/core/consensus/transfer.rs
+++ b/src/core/consensus/transfer.rs
@@ -6,7 +6,7 @@
 use crate::wire::{SnapshotPart, Voter};
 
 /// Largest size of one part.
-pub const PART_BYTES: usize = 64 << 10;
+pub const PART_MAX_BYTES: usize = 64 << 10;
 
 /// A snapshot that is being received.
 #[derive(Debug)]
@@ -71,11 +71,11 @@
 }
 
 /// Returns the part of a snapshot that starts at `offset`.
-pub fn part_of(snapshot: &Snapshot, crc: u32, offset: u64, sent_at: u64) -> SnapshotPart {
+pub fn part_at(snapshot: &Snapshot, crc: u32, offset: u64, sent_at: u64) -> SnapshotPart {
     let start = usize::try_from(offset)
         .unwrap_or(usize::MAX)
         .min(snapshot.data.len());
-    let end = (start + PART_BYTES).min(snapshot.data.len());
+    let end = (start + PART_MAX_BYTES).min(snapshot.data.len());
     SnapshotPart {
         index: snapshot.index,
         term: snapshot.term,
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -3,9 +3,9 @@
 use bytes::{BufMut, Bytes};
 
 /// Size of the header before the content: length and CRC-32, four bytes each.
-pub const HEAD_BYTES: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// Largest content of a record that is accepted when reading.
-const CONTENT_MAX: usize = 32 << 20;
+const CONTENT_MAX_BYTES: usize = 32 << 20;
 
 /// Appends a record with the given content to `buf`.
 pub fn put(buf: &mut Vec<u8>, content: &[u8]) {
@@ -17,44 +17,44 @@
 
 /// Result of reading at a position of a file.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Parsed {
     /// Content of an intact record, and the position after it.
     Record(Bytes, usize),
     /// The end of the file.
     End,
     /// Bytes that are not an intact record.
-    Damage,
+    Damaged,
 }
 
 /// Reads the record that starts at position `at`, which must not lie beyond the end.
-pub fn get(file: &Bytes, at: usize) -> Found {
+pub fn get(file: &Bytes, at: usize) -> Parsed {
     let rest = file.len() - at;
     if rest == 0 {
-        return Found::End;
+        return Parsed::End;
     }
-    if rest < HEAD_BYTES {
-        return Found::Damage;
+    if rest < HEADER_BYTES {
+        return Parsed::Damaged;
     }
-    let word = |at: usize| u32::from_le_bytes(file[at..at + 4].try_into().expect("four bytes"));
-    let (length, crc) = (word(at), word(at + 4));
+    let read_u32 = |at: usize| u32::from_le_bytes(file[at..at + 4].try_into().expect("four bytes"));
+    let (length, crc) = (read_u32(at), read_u32(at + 4));
     let size = length as usize;
-    if size > CONTENT_MAX || size > rest - HEAD_BYTES {
-        return Found::Damage;
+    if size > CONTENT_MAX_BYTES || size > rest - HEADER_BYTES {
+        return Parsed::Damaged;
     }
-    let content = file.slice(at + HEAD_BYTES..at + HEAD_BYTES + size);
+    let content = file.slice(at + HEADER_BYTES..at + HEADER_BYTES + size);
     if checksum(length, &content) != crc {
-        return Found::Damage;
+        return Parsed::Damaged;
     }
-    Found::Record(content, at + HEAD_BYTES + size)
+    Parsed::Record(content, at + HEADER_BYTES + size)
 }
 
 /// Returns whether an intact record starts anywhere after position `at`.
-pub fn any_after(file: &Bytes, at: usize) -> bool {
+pub fn any_record_after(file: &Bytes, at: usize) -> bool {
     (at + 1..file.len()).any(|at| {
         // Empty records do not count: the content of another record may contain the
         // eight bytes of one by chance. Eight zero bytes are not an empty record, as its
         // checksum is not zero.
-        matches!(get(file, at), Found::Record(content, _) if !content.is_empty())
+        matches!(get(file, at), Parsed::Record(content, _) if !content.is_empty())
     })
 }
 
--- a/src/store/wal.rs
+++ b/src/store/wal.rs
@@ -7,17 +7,17 @@
 use prost::{Message, Oneof};
 
 use super::folder::{Folder, open_private, write_atomically};
-use super::record::{self, Found};
-use crate::core::consensus::{Hard, Ready, Snapshot, Stored};
+use super::record::{self, Parsed};
+use crate::core::consensus::{HardState, Ready, Snapshot, Stored};
 use crate::error::{Error, Kind, Result};
 use crate::wire::{Entry, Voter};
 
-const LOG: &str = "log";
-const SNAPSHOT: &str = "snapshot";
+const LOG_FILE: &str = "log";
+const SNAPSHOT_FILE: &str = "snapshot";
 
 /// One record of the log file.
 #[derive(Clone, PartialEq, Message)]
-struct Line {
+struct Record {
     #[prost(oneof = "Content", tags = "1, 2, 3")]
     content: Option<Content>,
 }
@@ -25,7 +25,7 @@
 #[derive(Clone, PartialEq, Oneof)]
 enum Content {
     #[prost(message, tag = "1")]
-    Hard(HardLine),
+    Hard(HardStateRecord),
     #[prost(message, tag = "2")]
     Entry(Entry),
     /// Truncates the log: removes the entries from this index on.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-struct HardLine {
+struct HardStateRecord {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(fixed64, tag = "2")]
@@ -66,7 +66,7 @@
     folder: Folder,
     file: File,
     end: u64,
-    hard: Hard,
+    hard: HardState,
     generation: u64,
 }
 
@@ -80,28 +80,28 @@
     /// damaged elsewhere than at its end, or if the log has a gap.
     pub fn open(folder: Folder) -> Result<(Self, Stored)> {
         let (snapshot, generation) = read_snapshot(&folder)?;
-        let path = folder.path().join(LOG);
+        let path = folder.path().join(LOG_FILE);
         let bytes: Bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes.into(),
             Err(err) if err.kind() == std::io::ErrorKind::NotFound => Bytes::new(),
             Err(err) => return Err(err.into()),
         };
-        let (lines, end) = read_lines(&bytes).map_err(|at| {
+        let (records, end) = read_records(&bytes).map_err(|at| {
             let message = format!("{} is damaged at byte {at}", path.display());
             Error::new(Kind::Internal, message)
         })?;
-        let first = lines.first().cloned();
+        let first = records.first().cloned();
         let mut stored = Stored {
             snapshot,
             ..Stored::default()
         };
-        for line in lines {
-            replay(&mut stored, line);
+        for record in records {
+            replay(&mut stored, record);
         }
-        if first.map_or(0, |line| log_generation(&line)) < generation {
+        if first.map_or(0, |record| log_generation(&record)) < generation {
             stored.entries.clear();
         }
-        check_sequence(&stored)?;
+        check_contiguous(&stored)?;
         let file = open_private(&path)?;
         file.set_len(end as u64)?;
         file.sync_all()?;
@@ -144,13 +144,13 @@
         }
         let mut buf = Vec::new();
         if let Some(hard) = ready.hard {
-            put(&mut buf, hard_line(hard, self.generation));
+            put_record(&mut buf, hard_state_record(hard, self.generation));
         }
         if let Some(from) = ready.truncate_from {
-            put(&mut buf, Content::Truncate(from));
+            put_record(&mut buf, Content::Truncate(from));
         }
         for entry in &ready.entries {
-            put(&mut buf, Content::Entry(entry.clone()));
+            put_record(&mut buf, Content::Entry(entry.clone()));
         }
         if buf.is_empty() {
             return Ok(());
@@ -197,48 +197,48 @@
         };
         let mut buf = Vec::new();
         record::put(&mut buf, &file.encode_to_vec());
-        write_atomically(self.folder.path(), SNAPSHOT, &buf)
+        write_atomically(self.folder.path(), SNAPSHOT_FILE, &buf)
     }
 
-    fn rewrite(&mut self, hard: Hard, entries: &[Entry]) -> std::io::Result<()> {
+    fn rewrite(&mut self, hard: HardState, entries: &[Entry]) -> std::io::Result<()> {
         let mut buf = Vec::new();
-        put(&mut buf, hard_line(hard, self.generation));
+        put_record(&mut buf, hard_state_record(hard, self.generation));
         for entry in entries {
-            put(&mut buf, Content::Entry(entry.clone()));
+            put_record(&mut buf, Content::Entry(entry.clone()));
         }
-        write_atomically(self.folder.path(), LOG, &buf)?;
-        self.file = open_private(&self.folder.path().join(LOG))?;
+        write_atomically(self.folder.path(), LOG_FILE, &buf)?;
+        self.file = open_private(&self.folder.path().join(LOG_FILE))?;
         self.end = buf.len() as u64;
         self.hard = hard;
         Ok(())
     }
 }
 
-const fn hard_line(hard: Hard, generation: u64) -> Content {
-    Content::Hard(HardLine {
+const fn hard_state_record(hard: HardState, generation: u64) -> Content {
+    Content::Hard(HardStateRecord {
         term: hard.term,
         vote: hard.vote,
         generation,
     })
 }
 
-fn put(buf: &mut Vec<u8>, content: Content) {
-    let line = Line {
+fn put_record(buf: &mut Vec<u8>, content: Content) {
+    let record = Record {
         content: Some(content),
     };
-    record::put(buf, &line.encode_to_vec());
+    record::put(buf, &record.encode_to_vec());
 }
 
 fn read_snapshot(folder: &Folder) -> Result<(Snapshot, u64)> {
-    let path = folder.path().join(SNAPSHOT);
+    let path = folder.path().join(SNAPSHOT_FILE);
     let bytes: Bytes = match std::fs::read(&path) {
         Ok(bytes) => bytes.into(),
         Err(err) if err.kind() == std::io::ErrorKind::NotFound => return Ok(Default::default()),
         Err(err) => return Err(err.into()),
     };
     let file = match record::get(&bytes, 0) {
-        Found::Record(content, _) => SnapshotFile::decode(content).ok(),
-        Found::End | Found::Damage => None,
+        Parsed::Record(content, _) => SnapshotFile::decode(content).ok(),
+        Parsed::End | Parsed::Damaged => None,
     };
     let Some(file) = file else {
         let message = format!("{} is damaged", path.display());
@@ -256,19 +256,19 @@
 // Returns the records and the position after the last one, or as an error the position of
 // damage that is not at the end of the file. Damage counts as an incomplete write at the
 // end if no intact record follows it.
-fn read_lines(bytes: &Bytes) -> Result<(Vec<Content>, usize), usize> {
-    let mut lines = Vec::new();
+fn read_records(bytes: &Bytes) -> Result<(Vec<Content>, usize), usize> {
+    let mut records = Vec::new();
     let mut at = 0;
     loop {
         match record::get(bytes, at) {
-            Found::Record(content, next) => {
-                let line = Line::decode(content).map_err(|_| at)?;
-                lines.extend(line.content);
+            Parsed::Record(content, next) => {
+                let record = Record::decode(content).map_err(|_| at)?;
+                records.extend(record.content);
                 at = next;
             }
-            Found::End => return Ok((lines, at)),
-            Found::Damage if record::any_after(bytes, at) => return Err(at),
-            Found::Damage => return Ok((lines, at)),
+            Parsed::End => return Ok((records, at)),
+            Parsed::Damaged if record::any_record_after(bytes, at) => return Err(at),
+            Parsed::Damaged => return Ok((records, at)),
         }
     }
 }
@@ -282,10 +282,10 @@
     }
 }
 
-fn replay(stored: &mut Stored, line: Content) {
-    match line {
+fn replay(stored: &mut Stored, content: Content) {
+    match content {
         Content::Hard(hard) => {
-            stored.hard = Hard {
+            stored.hard = HardState {
                 term: hard.term,
                 vote: hard.vote,
             };
@@ -299,10 +299,10 @@
     }
 }
 
-fn check_sequence(stored: &Stored) -> Result<()> {
+fn check_contiguous(stored: &Stored) -> Result<()> {
     for (next, entry) in (stored.snapshot.index + 1..).zip(&stored.entries) {
         if entry.index != next {
-            let message = format!("the log lacks entry {next}");
+            let message = format!("log entry {next} is missing");
             return Err(Error::new(Kind::Internal, message));
         }
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -8,8 +8,8 @@
 
 pub use handshake::{Challenge, Hello, Proof};
 pub use raft::{
-    Append, AppendReply, Entry, Observe, Raft, RaftBody, SnapshotPart, SnapshotReply, Vote,
-    VoteReply, Voter, Yield,
+    Append, AppendReply, Entry, Observe, Raft, RaftBody, SnapshotPart, SnapshotReply, TimeoutNow,
+    Vote, VoteReply, Voter,
 };
 
 /// Version of the protocol. A link to a peer of another version is refused, with an
--- a/src/wire/raft.rs
+++ b/src/wire/raft.rs
@@ -46,13 +46,13 @@
     Observe(Observe),
     /// Leadership transfer: request to start an election at once.
     #[prost(message, tag = "11")]
-    Yield(Yield),
+    TimeoutNow(TimeoutNow),
 }
 
 /// Notice of a leader that it has stepped down and that the receiver should start an
 /// election at once.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Yield {}
+pub struct TimeoutNow {}
 
 /// Request for a vote or pre-vote.
 #[derive(Clone, Copy, PartialEq, Message)]
@@ -72,7 +72,7 @@
     /// Whether the leader stepped down in favour of the candidate, so that voters may
     /// vote although they have recently heard from the leader.
     #[prost(bool, tag = "5")]
-    pub yielded: bool,
+    pub leader_transfer: bool,
 }
 
 /// Reply to [`Vote`].
--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -7,20 +7,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use plantaincross::core::consensus::{ELECTION_MIN, Hard, Ready, Replica, Snapshot, Stored};
+use plantaincross::core::consensus::{
+    ELECTION_TIMEOUT_MIN, HardState, Ready, Replica, Snapshot, Stored,
+};
 use plantaincross::core::time::Moment;
 use plantaincross::wire::{Entry, Raft, Voter};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const TICK: u64 = 25_000;
-const LENGTH: u64 = 12_000_000;
-const START: u64 = 10_000_000;
+const TICK_US: u64 = 25_000;
+const RUN_US: u64 = 12_000_000;
+const START_US: u64 = 10_000_000;
 
 /// Synced state of one replica, which survives a crash.
 #[derive(Clone, Default)]
 struct Disk {
-    hard: Hard,
+    hard: HardState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
 }
@@ -53,8 +55,8 @@
     id: u64,
     replica: Option<Replica>,
     disk: Disk,
-    /// Clock skew in parts per thousand; positive if the clock runs fast.
-    skew: i64,
+    /// Positive if the clock runs fast.
+    skew_per_mille: i64,
     offset: u64,
     paused_until: u64,
     applied: u64,
@@ -63,7 +65,7 @@
 
 impl Host {
     fn clock(&self, time: u64) -> Moment {
-        let drift = time as i64 / 1_000 * self.skew;
+        let drift = time as i64 / 1_000 * self.skew_per_mille;
         Moment((time as i64 + drift) as u64 + self.offset)
     }
 }
@@ -74,7 +76,7 @@
     hosts: Vec<Host>,
     network: BTreeMap<(u64, u64), Raft>,
     sent: u64,
-    cut: BTreeSet<(u64, u64)>,
+    cut_links: BTreeSet<(u64, u64)>,
     loss: u32,
     leaders: BTreeMap<u64, u64>,
     committed: BTreeMap<u64, Entry>,
@@ -94,7 +96,7 @@
                     id,
                     replica: None,
                     disk: Disk::default(),
-                    skew: rng.random_range(-3..=3),
+                    skew_per_mille: rng.random_range(-3..=3),
                     offset,
                     paused_until: 0,
                     applied: 0,
@@ -104,11 +106,11 @@
             .collect();
         let mut cluster = Self {
             rng,
-            time: START,
+            time: START_US,
             hosts,
             network: BTreeMap::new(),
             sent: 0,
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             loss,
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -135,7 +137,7 @@
 
     /// Stores, sends and applies what a replica has ready, as the driver does. Sometimes
     /// the process crashes right before or after the data is stored.
-    fn settle(&mut self, at: usize) {
+    fn process_ready(&mut self, at: usize) {
         loop {
             let now = self.hosts[at].clock(self.time);
             let Some(replica) = &mut self.hosts[at].replica else {
@@ -165,7 +167,7 @@
             let replica = self.hosts[at].replica.as_mut().expect("running");
             replica.persisted(now);
             for message in ready.messages {
-                self.post(&message);
+                self.send(&message);
             }
             if let Some(snapshot) = ready.snapshot {
                 self.hosts[at].applied = snapshot.index;
@@ -207,14 +209,14 @@
         }
     }
 
-    fn post(&mut self, message: &Raft) {
+    fn send(&mut self, message: &Raft) {
         let targets: Vec<u64> = if message.to == 0 {
             self.hosts.iter().map(|h| h.id).collect()
         } else {
             vec![message.to]
         };
         for to in targets {
-            if to == message.from || self.cut.contains(&(message.from, to)) {
+            if to == message.from || self.cut_links.contains(&(message.from, to)) {
                 continue;
             }
             let copies = if self.rng.random_ratio(1, 40) { 2 } else { 1 };
@@ -239,13 +241,13 @@
 
     fn run(&mut self, seed: u64) {
         let mut next_tick = self.time;
-        while self.time < START + LENGTH {
+        while self.time < START_US + RUN_US {
             self.deliver_until(next_tick);
-            next_tick += TICK;
+            next_tick += TICK_US;
             for at in 0..self.hosts.len() {
                 self.tick(at);
             }
-            self.disturb();
+            self.inject_fault();
             self.check(seed);
         }
     }
@@ -276,7 +278,7 @@
         let now = self.hosts[at].clock(self.time);
         if let Some(replica) = &mut self.hosts[at].replica {
             replica.step(now, message);
-            self.settle(at);
+            self.process_ready(at);
         }
     }
 
@@ -304,10 +306,10 @@
             let index = replica.propose(command.clone()).expect("leads");
             self.acknowledged.push((index, command));
         }
-        self.settle(at);
+        self.process_ready(at);
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let count = self.hosts.len();
         match self.rng.random_range(0..200) {
             0 => {
@@ -320,7 +322,7 @@
                 self.hosts[at].paused_until = self.time + length;
             }
             2 => self.partition(),
-            3..6 => self.cut.clear(),
+            3..6 => self.cut_links.clear(),
             6 => self.change_members(),
             7 => self.resign(),
             _ => {}
@@ -335,7 +337,7 @@
                 && replica.is_leader()
             {
                 replica.resign(now);
-                self.settle(at);
+                self.process_ready(at);
                 return;
             }
         }
@@ -348,9 +350,9 @@
         let one_way = self.rng.random_ratio(1, 3);
         for &a in &side {
             for &b in ids.iter().filter(|b| !side.contains(b)) {
-                self.cut.insert((a, b));
+                self.cut_links.insert((a, b));
                 if !one_way {
-                    self.cut.insert((b, a));
+                    self.cut_links.insert((b, a));
                 }
             }
         }
@@ -358,17 +360,17 @@
 
     fn change_members(&mut self) {
         let all: Vec<Voter> = self.hosts.iter().map(|h| voter(h.id)).collect();
-        let pick = self.rng.random_range(0..all.len());
+        let index = self.rng.random_range(0..all.len());
         for host in &mut self.hosts {
             let Some(replica) = host.replica.as_mut().filter(|r| r.is_leader()) else {
                 continue;
             };
             let mut voters = replica.voters().to_vec();
-            let one = all[pick].clone();
-            if voters.contains(&one) {
-                voters.retain(|v| *v != one);
+            let member = all[index].clone();
+            if voters.contains(&member) {
+                voters.retain(|v| *v != member);
             } else {
-                voters.push(one);
+                voters.push(member);
             }
             if voters.len() >= 2 {
                 // Refused while another change is not committed.
@@ -385,7 +387,10 @@
             };
             if replica.is_leader() {
                 let known = *self.leaders.entry(replica.term()).or_insert(host.id);
-                assert_eq!(known, host.id, "seed {seed}: one leader a term");
+                assert_eq!(
+                    known, host.id,
+                    "seed {seed}: more than one leader in a term"
+                );
             }
             // Also checked for paused hosts: a process reads its clock again before it
             // acts on the lease.
@@ -394,7 +399,7 @@
                 let newest = self.committed.keys().next_back().copied().unwrap_or(0);
                 assert!(
                     replica.commit() >= newest,
-                    "seed {seed}: a leased leader knows all commits: {} of {newest}",
+                    "seed {seed}: a leader with a lease has commit index {}, but {newest} is committed",
                     replica.commit()
                 );
             }
@@ -403,8 +408,8 @@
     }
 
     /// Ends all faults and checks that the group then makes progress.
-    fn recover(&mut self, seed: u64) {
-        self.cut.clear();
+    fn check_recovery(&mut self, seed: u64) {
+        self.cut_links.clear();
         self.loss = 0;
         let before = self.committed.len();
         for at in 0..self.hosts.len() {
@@ -417,7 +422,7 @@
         let mut next_tick = self.time;
         while self.time < end {
             self.deliver_until(next_tick);
-            next_tick += TICK;
+            next_tick += TICK_US;
             for at in 0..self.hosts.len() {
                 if self.hosts[at].replica.is_none() {
                     self.start(at);
@@ -432,7 +437,7 @@
         }
         let state: Vec<String> = self.hosts.iter().map(describe).collect();
         panic!(
-            "seed {seed}: the group did not go on after everything was healed, {} before, {} after\n{}",
+            "seed {seed}: no progress after all faults ended: {} entries were committed before, {} after\n{}",
             before,
             self.committed.len(),
             state.join("\n")
@@ -468,11 +473,11 @@
     for seed in from..from + count {
         let mut cluster = Cluster::new(seed);
         cluster.run(seed);
-        cluster.recover(seed);
+        cluster.check_recovery(seed);
     }
 }
 
-fn per_part() -> u64 {
+fn schedules_per_part() -> u64 {
     let total: u64 = std::env::var("SCHEDULES")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -482,7 +487,7 @@
 
 macro_rules! parts {
     ($($name:ident: $part:expr;)*) => {
-        $(#[test] fn $name() { schedules($part * 1_000_000, per_part()); })*
+        $(#[test] fn $name() { schedules($part * 1_000_000, schedules_per_part()); })*
     };
 }
 
@@ -500,11 +505,11 @@
     let mut first = Replica::new(1, "1", true, Stored::default(), now, 1);
     first.found(now, voters);
     first.tick(now);
-    let ask = first.take_ready().messages;
+    let requests = first.take_ready().messages;
     let mut second = Replica::new(2, "2", true, Stored::default(), now, 2);
-    let vote = ask.into_iter().find(|m| m.to == 2).expect("asked");
-    second.step(now + ELECTION_MIN * 9 / 10, vote.clone());
+    let vote = requests.into_iter().find(|m| m.to == 2).expect("asked");
+    second.step(now + ELECTION_TIMEOUT_MIN * 9 / 10, vote.clone());
     assert!(second.take_ready().messages.is_empty());
-    second.step(now + ELECTION_MIN * 11 / 10, vote);
+    second.step(now + ELECTION_TIMEOUT_MIN * 11 / 10, vote);
     assert_eq!(second.take_ready().messages.len(), 1);
 }
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -4,11 +4,11 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use plantaincross::core::consensus::{Ballot, Doubt, ELECTION_MAX, Replica, Stored};
+use plantaincross::core::consensus::{Ballot, Doubt, ELECTION_TIMEOUT_MAX, Replica, Stored};
 use plantaincross::core::time::Moment;
 use plantaincross::wire::{Raft, RaftBody, Vote, Voter};
 
-const START: u64 = 10_000_000;
+const START_US: u64 = 10_000_000;
 const ENTRY_BYTES: usize = 1_000;
 
 struct Group {
@@ -16,12 +16,12 @@
     replicas: Vec<Replica>,
     /// Messages in flight, with their time of arrival.
     network: VecDeque<(u64, Raft)>,
-    cut: Option<u64>,
-    entry_bytes_to_cut: usize,
+    isolated: Option<u64>,
+    entry_bytes_to_third: usize,
     /// Interval between ticks of the replicas, in milliseconds.
-    tick_every: u64,
+    tick_interval_ms: u64,
     /// Election events of each replica.
-    ballots: Vec<Vec<Ballot>>,
+    election_events: Vec<Vec<Ballot>>,
 }
 
 impl Group {
@@ -37,19 +37,19 @@
                     &format!("i{id}"),
                     true,
                     Stored::default(),
-                    Moment(START),
+                    Moment(START_US),
                     seed * 3 + id,
                 )
             })
             .collect();
         let mut group = Self {
-            now: START + 2_000_000,
+            now: START_US + 2_000_000,
             replicas,
             network: VecDeque::new(),
-            cut: None,
-            entry_bytes_to_cut: 0,
-            tick_every: 1,
-            ballots: vec![Vec::new(); 3],
+            isolated: None,
+            entry_bytes_to_third: 0,
+            tick_interval_ms: 1,
+            election_events: vec![Vec::new(); 3],
         };
         let voters = (1..=3)
             .map(|id| Voter {
@@ -64,7 +64,7 @@
                 return group;
             }
         }
-        panic!("the founder does not lead");
+        panic!("the founder did not become leader");
     }
 
     // Simulates one millisecond. Messages take five milliseconds.
@@ -76,21 +76,21 @@
             let to = raft.to as usize - 1;
             self.replicas[to].step(now, raft);
         }
-        let is_tick = (self.now / 1_000).is_multiple_of(self.tick_every);
+        let is_tick = (self.now / 1_000).is_multiple_of(self.tick_interval_ms);
         for (at, replica) in self.replicas.iter_mut().enumerate() {
             if is_tick {
                 replica.tick(now);
             }
             replica.flush(now);
             let ready = replica.take_ready();
-            self.ballots[at].extend(&ready.ballots);
+            self.election_events[at].extend(&ready.ballots);
             replica.persisted(now);
             for raft in ready.messages {
-                let is_cut = self.cut == Some(raft.to) || self.cut == Some(raft.from);
-                if raft.to != 0 && !is_cut {
+                let is_lost = self.isolated == Some(raft.to) || self.isolated == Some(raft.from);
+                if raft.to != 0 && !is_lost {
                     if let (3, Some(RaftBody::Append(append))) = (raft.to, &raft.body) {
                         let bytes: usize = append.entries.iter().map(|e| e.command.len()).sum();
-                        self.entry_bytes_to_cut += bytes;
+                        self.entry_bytes_to_third += bytes;
                     }
                     self.network.push_back((self.now + 5_000, raft));
                 }
@@ -98,9 +98,9 @@
         }
     }
 
-    fn run(&mut self, millis: u64, every: u64) {
-        for at in 0..millis {
-            if at % every == 0 {
+    fn run(&mut self, duration_ms: u64, proposal_interval_ms: u64) {
+        for at in 0..duration_ms {
+            if at % proposal_interval_ms == 0 {
                 let command = Bytes::from(vec![7; ENTRY_BYTES]);
                 self.replicas[0].propose(command).expect("leads");
             }
@@ -110,13 +110,13 @@
 }
 
 #[test]
-fn entries_lost_on_the_way_are_sent_again_once() {
+fn lost_entries_are_resent_once() {
     let mut group = Group::new();
     group.run(200, 2);
-    group.cut = Some(3);
+    group.isolated = Some(3);
     group.run(700, 2);
-    group.cut = None;
-    group.entry_bytes_to_cut = 0;
+    group.isolated = None;
+    group.entry_bytes_to_third = 0;
     group.run(1_500, 2);
     for _ in 0..500 {
         group.step();
@@ -130,14 +130,14 @@
     // 350 entries were lost and 750 are new. The same amount again is allowed for probing.
     let due = (350 + 750) * ENTRY_BYTES;
     assert!(
-        group.entry_bytes_to_cut <= 2 * due,
-        "{} bytes of entries were sent where {due} were due",
-        group.entry_bytes_to_cut
+        group.entry_bytes_to_third <= 2 * due,
+        "{} bytes of entries were sent, but {due} were lost or new",
+        group.entry_bytes_to_third
     );
 }
 
 #[test]
-fn a_silent_follower_has_a_bounded_backlog() {
+fn entries_in_flight_to_a_silent_follower_are_bounded() {
     let mut group = Group::new();
     group.run(200, 2);
     // The follower's replies are lost, as on a link that is cut in one direction.
@@ -148,26 +148,26 @@
             group.replicas[0].propose(command).expect("leads");
         }
         group.network.retain(|(_, raft)| raft.from != 3);
-        let before = group.entry_bytes_to_cut;
+        let before = group.entry_bytes_to_third;
         group.step();
-        sent += group.entry_bytes_to_cut - before;
+        sent += group.entry_bytes_to_third - before;
     }
     // Of 450 entries, not all may be in flight without a reply.
     assert!(
         sent <= 300 * ENTRY_BYTES,
-        "{sent} bytes are under way unanswered"
+        "{sent} bytes of entries are in flight without a reply"
     );
 }
 
 #[test]
-fn a_planned_stop_hands_leadership_over_at_once() {
+fn resigning_transfers_leadership_at_once() {
     let mut group = Group::new();
     group.run(100, 2);
     let now = Moment(group.now);
     group.replicas[0].resign(now);
     assert!(
         !group.replicas[0].is_leased(now),
-        "the old leader acts no more"
+        "a leader that resigned holds no lease"
     );
     for _ in 0..60 {
         group.step();
@@ -179,25 +179,25 @@
 }
 
 #[test]
-fn a_late_word_of_a_former_leader_changes_nothing() {
+fn a_delayed_timeout_now_starts_no_election() {
     let mut group = Group::new();
     group.run(100, 2);
     let now = Moment(group.now);
     group.replicas[0].resign(now);
-    let words: Vec<Raft> = group.replicas[0]
+    let messages: Vec<Raft> = group.replicas[0]
         .take_ready()
         .messages
         .into_iter()
-        .filter(|raft| matches!(raft.body, Some(RaftBody::Yield(_))))
+        .filter(|raft| matches!(raft.body, Some(RaftBody::TimeoutNow(_))))
         .collect();
-    assert_eq!(words.len(), 1);
+    assert_eq!(messages.len(), 1);
     // The message is delayed until another election has been held.
     for _ in 0..3_000 {
         group.step();
     }
     let now = Moment(group.now);
     let term = group.replicas[0].term();
-    for raft in words {
+    for raft in messages {
         let to = raft.to as usize - 1;
         group.replicas[to].step(now, raft);
     }
@@ -213,12 +213,12 @@
 fn a_split_vote_costs_little() {
     // One election timeout, half of one until the next candidacy, and two rounds of votes
     // of up to 50 ms each.
-    const LONGEST_MS: u64 = ELECTION_MAX.as_millis() as u64 + 600;
+    const LONGEST_MS: u64 = ELECTION_TIMEOUT_MAX.as_millis() as u64 + 600;
     for seed in 0..300 {
         let mut group = Group::seeded(seed);
         group.run(100, 2);
-        group.tick_every = 50;
-        group.cut = Some(1);
+        group.tick_interval_ms = 50;
+        group.isolated = Some(1);
         let has_leader = |group: &Group| {
             group.replicas[1..]
                 .iter()
@@ -231,24 +231,24 @@
         assert!(
             took.is_some_and(|took| took <= LONGEST_MS),
             "seed {seed}: the next leader came after {took:?} ms: {:?}",
-            group.ballots
+            group.election_events
         );
     }
 }
 
 #[test]
-fn a_candidate_and_a_voter_tell_why() {
+fn election_events_are_reported() {
     let mut group = Group::new();
     group.run(100, 2);
-    group.ballots = vec![Vec::new(); 3];
-    group.cut = Some(3);
+    group.election_events = vec![Vec::new(); 3];
+    group.isolated = Some(3);
     group.run(3_000, 2);
-    group.cut = None;
+    group.isolated = None;
     group.run(50, 2);
     let stood = |b: &Ballot| matches!(b, Ballot::Stood { pre: true, .. });
     assert!(
-        group.ballots[2].iter().any(stood),
-        "the one that was cut off"
+        group.election_events[2].iter().any(stood),
+        "the isolated replica reports its pre-vote"
     );
     let refused = |b: &Ballot| {
         matches!(
@@ -260,7 +260,7 @@
             }
         )
     };
-    let candidacy = RaftBody::Vote(Vote {
+    let request = RaftBody::Vote(Vote {
         pre: true,
         for_term: group.replicas[1].term() + 1,
         ..Vote::default()
@@ -273,13 +273,13 @@
             term,
             from: 3,
             to: 2,
-            body: Some(candidacy),
+            body: Some(request),
         },
     );
     group.step();
     assert!(
-        group.ballots[1].iter().any(refused),
+        group.election_events[1].iter().any(refused),
         "{:?}",
-        group.ballots[1]
+        group.election_events[1]
     );
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 use bytes::Bytes;
-use plantaincross::core::consensus::{Hard, Ready, Snapshot, Stored};
+use plantaincross::core::consensus::{HardState, Ready, Snapshot, Stored};
 use plantaincross::store::{Folder, Wal};
 use plantaincross::wire::Entry;
 
@@ -57,7 +57,7 @@
 fn fill(temp: &Temp, count: u64) {
     let (mut wal, _) = temp.open().expect("opens");
     wal.store(&Ready {
-        hard: Some(Hard { term: 1, vote: 7 }),
+        hard: Some(HardState { term: 1, vote: 7 }),
         ..Ready::default()
     })
     .expect("stored");
@@ -89,10 +89,10 @@
 }
 
 cases! {
-    fn what_was_stored_comes_back(temp) {
+    fn stored_state_is_recovered(temp) {
         fill(&temp, 20);
         let (_, stored) = temp.open().expect("opens");
-        assert_eq!(stored.hard, Hard { term: 1, vote: 7 });
+        assert_eq!(stored.hard, HardState { term: 1, vote: 7 });
         assert_eq!(stored.entries, (1..21).map(entry).collect::<Vec<_>>());
     }
 
@@ -147,7 +147,7 @@
         assert!(stored.entries.is_empty());
     }
 
-    fn one_process_at_a_time(temp) {
+    fn second_process_is_refused(temp) {
         let first = temp.open().expect("opens");
         assert!(temp.open().expect_err("refused").contains("in use by another process"));
         drop(first);
@@ -170,7 +170,7 @@
         assert_ne!(temp.open().expect("opens").0.replica(), first);
     }
 
-    fn truncated_entries_stay_away(temp) {
+    fn truncated_entries_are_not_recovered(temp) {
         fill(&temp, 9);
         let (mut wal, _) = temp.open().expect("opens");
         let ready = Ready { truncate_from: Some(5), entries: vec![Entry { term: 2, ..entry(5) }], ..Ready::default() };
