--- a/src/core/consensus/ballot.rs
+++ b/src/core/consensus/ballot.rs
@@ -34,7 +34,8 @@
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum Doubt {
-    /// The leader was heard from within the shortest election timeout.
+    /// The voter leads, or has heard from the leader within the shortest election
+    /// timeout.
     HearsLeader,
     /// The candidate's log is less up to date than the voter's.
     Behind,
--- a/src/core/consensus/replica.rs
+++ b/src/core/consensus/replica.rs
@@ -18,7 +18,7 @@
 /// Interval between a leader's heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
 /// Shortest election timeout. A replica grants no vote within this time of hearing from
-/// a leader, on which the leader lease relies.
+/// a leader, unless that leader has stepped down. The leader lease relies on this.
 pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 /// Longest election timeout.
 pub const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(1_000);
--- a/src/core/consensus/replicate.rs
+++ b/src/core/consensus/replicate.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Returns the latest time such that a quorum, including this leader, has answered
-    /// requests sent at or after it.
+    /// Returns the latest time such that a quorum of the voters has answered requests
+    /// sent at or after it. If this leader is a voter, it counts as having answered now.
     pub(super) fn quorum_contact(&self, now: Moment) -> Moment {
         let Role::Leader(leader) = &self.role else {
             return Moment::ZERO;
