--- a/src/core/consensus/follow.rs
+++ b/src/core/consensus/follow.rs
@@ -1,31 +1,31 @@
-//! A follower's or observer's side of replication.
+//! Replication as seen by followers and observers.
 
 use std::time::Duration;
 
 use super::log::Snapshot;
-use super::replica::{ELECTION_MAX, Replica, Role};
+use super::replica::{ELECTION_TIMEOUT_MAX, Replica, Role};
 use super::transfer::Incoming;
 use crate::core::time::Moment;
 use crate::wire::{Append, AppendReply, Observe, RaftBody, SnapshotPart, SnapshotReply};
 
-/// Interval at which observers ask to be replicated to.
-const OBSERVE_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval at which observers request replication.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Replica {
     pub(super) fn tick_observer(&mut self, now: Moment) {
         if now < self.observe_at {
             return;
         }
-        self.observe_at = now + OBSERVE_EVERY;
-        if now.since(self.contact) > ELECTION_MAX {
+        self.observe_at = now + OBSERVE_INTERVAL;
+        if now.since(self.leader_heard_at) > ELECTION_TIMEOUT_MAX {
             self.leader = None;
         }
-        // To all, since a new leader does not know its observers.
+        // Sent to every peer, since a new leader does not know its observers.
         self.send_observe(0);
     }
 
-    // Addressed to replica 0, the driver sends it to every peer; only a leader
-    // takes it.
+    // The driver sends a message addressed to replica 0 to every peer. Only a leader
+    // acts on it.
     pub(super) fn send_observe(&mut self, to: u64) {
         let observe = Observe {
             last_index: self.log.last_index(),
@@ -35,7 +35,7 @@
         self.send(to, RaftBody::Observe(observe));
     }
 
-    pub(super) fn follow(&mut self, now: Moment, from: u64, term: u64) -> bool {
+    pub(super) fn follow_leader(&mut self, now: Moment, from: u64, term: u64) -> bool {
         if term < self.hard.term {
             let reply = AppendReply {
                 ok: false,
@@ -47,22 +47,22 @@
         }
         self.role = Role::Follower;
         self.leader = Some(from);
-        self.contact = now;
-        self.reset_election(now);
+        self.leader_heard_at = now;
+        self.reset_election_timeout(now);
         true
     }
 
     pub(super) fn step_append(&mut self, now: Moment, from: u64, term: u64, append: Append) {
-        if !self.follow(now, from, term) {
+        if !self.follow_leader(now, from, term) {
             return;
         }
         let sent_at = append.sent_at;
-        let (ok, index) = self.take_entries(append);
+        let (ok, index) = self.accept_entries(append);
         let reply = AppendReply { ok, index, sent_at };
         self.send(from, RaftBody::AppendReply(reply));
     }
 
-    pub(super) fn take_entries(&mut self, append: Append) -> (bool, u64) {
+    pub(super) fn accept_entries(&mut self, append: Append) -> (bool, u64) {
         if append.prev_index < self.commit {
             let end = append.prev_index + append.entries.len() as u64;
             if end <= self.commit {
@@ -93,7 +93,10 @@
     }
 
     pub(super) fn truncate(&mut self, index: u64) {
-        assert!(index > self.commit, "a committed entry never changes");
+        assert!(
+            index > self.commit,
+            "committed entry {index} must not be truncated"
+        );
         self.log.truncate(index);
         self.ready.entries.retain(|entry| entry.index < index);
         let from = self.ready.truncate_from.map_or(index, |at| at.min(index));
@@ -102,7 +105,9 @@
         self.refresh_voters();
     }
 
-    // Skips back over all entries of the conflicting term at once.
+    // Returns the index from which the leader should retry. It skips all entries whose
+    // term is later than the leader's at `prev_index`, instead of one entry per round
+    // trip.
     pub(super) fn mismatch_hint(&self, prev_index: u64, prev_term: u64) -> u64 {
         let mut hint = self.log.last_index().min(prev_index.saturating_sub(1));
         while hint > self.commit && self.log.term_at(hint).is_some_and(|term| term > prev_term) {
@@ -112,7 +117,7 @@
     }
 
     pub(super) fn step_snapshot(&mut self, now: Moment, from: u64, term: u64, part: &SnapshotPart) {
-        if !self.follow(now, from, term) {
+        if !self.follow_leader(now, from, term) {
             return;
         }
         if part.index <= self.commit {
@@ -142,7 +147,7 @@
         let Some(snapshot) = incoming.finish() else {
             return;
         };
-        self.install(snapshot);
+        self.install_snapshot(snapshot);
         let reply = AppendReply {
             ok: true,
             index: self.commit,
@@ -151,9 +156,9 @@
         self.send(from, RaftBody::AppendReply(reply));
     }
 
-    pub(super) fn install(&mut self, snapshot: Snapshot) {
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
         self.commit = snapshot.index;
-        self.handed = snapshot.index;
+        self.delivered = snapshot.index;
         self.stable = snapshot.index;
         self.snapshot_crc = crc32fast::hash(&snapshot.data);
         self.ready.entries.clear();
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -1,7 +1,7 @@
-//! Agreement among the replicas of the root group, as a pure state machine.
+//! Raft consensus among the replicas of the root group, as a state machine without I/O.
 //!
-//! Source: Ongaro, Consensus: Bridging Theory and Practice (Raft), with
-//! pre-vote, check-quorum, leader lease and member changes one at a time.
+//! Implements Ongaro, "Consensus: Bridging Theory and Practice", with pre-vote, check
+//! quorum, leader leases and single-server membership changes.
 
 mod ballot;
 mod election;
@@ -16,5 +16,6 @@
 pub use log::{Log, Snapshot};
 pub use progress::Progress;
 pub use replica::{
-    ELECTION_MAX, ELECTION_MIN, HEARTBEAT_EVERY, Hard, NotLeader, Ready, Replica, Stored,
+    ELECTION_TIMEOUT_MAX, ELECTION_TIMEOUT_MIN, HEARTBEAT_INTERVAL, HardState, NotLeader, Ready,
+    Replica, Stored,
 };
--- a/src/core/consensus/replica.rs
+++ b/src/core/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the root group, or an observer that follows it.
+//! A Raft replica: a voter of the root group, or an observer that follows its log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,57 +15,60 @@
 use crate::core::time::{Moment, with_clock_margin};
 use crate::wire::{Entry, Raft, RaftBody, Voter};
 
-/// Interval of a leader's heartbeats.
-pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(120);
-/// Shortest election timeout. No replica votes within this of a leader's word.
-pub const ELECTION_MIN: Duration = Duration::from_millis(500);
+/// Interval between a leader's heartbeats.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
+/// Shortest election timeout. A replica grants no vote within this time of hearing from
+/// a leader, unless that leader has stepped down. The leader lease relies on this.
+pub const ELECTION_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 /// Longest election timeout.
-pub const ELECTION_MAX: Duration = Duration::from_millis(1_000);
+pub const ELECTION_TIMEOUT_MAX: Duration = Duration::from_millis(1_000);
 
-/// What must be synced before messages are sent.
+/// Raft's hard state, which must be synced before messages are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hard {
-    /// Latest term seen.
+pub struct HardState {
+    /// Latest term that the replica has seen.
     pub term: u64,
-    /// Replica voted for in that term, or 0.
+    /// Replica that got this replica's vote in `term`, or 0 for none.
     pub vote: u64,
 }
 
-/// What a replica starts from.
+/// Persistent state from which a replica starts.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
-    /// Term and vote.
-    pub hard: Hard,
-    /// Snapshot.
+    /// Stored term and vote.
+    pub hard: HardState,
+    /// Latest stored snapshot, or the default one if there is none.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Work for the driver, in this order: store, send, apply.
+/// Work for the driver, which stores, then sends, then applies.
 #[derive(Debug, Default)]
 pub struct Ready {
     /// Term and vote to store.
-    pub hard: Option<Hard>,
-    /// Snapshot of another replica to store and to load into the state machine.
+    pub hard: Option<HardState>,
+    /// Snapshot received from another replica, to be stored and loaded into the state
+    /// machine.
     pub snapshot: Option<Snapshot>,
-    /// First index to remove from the stored log.
+    /// Index from which on the stored log is to be truncated.
     pub truncate_from: Option<u64>,
-    /// Entries to store.
+    /// Entries to append to the stored log, after any truncation.
     pub entries: Vec<Entry>,
-    /// Messages to send once all that is stored.
+    /// Messages to send once everything above is stored.
     pub messages: Vec<Raft>,
-    /// Entries to apply.
+    /// Committed entries to apply to the state machine.
     pub committed: Vec<Entry>,
-    /// Decisions of elections, to be logged.
+    /// Election events to write to the journal.
     pub ballots: Vec<Ballot>,
 }
 
-/// The replica does not lead, so it cannot take proposals.
+/// Error for a proposal to a replica that does not lead, or that cannot change the
+/// voters at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("not the leader of the root group"))]
 pub struct NotLeader {
-    /// Leader, if known.
+    /// Current leader, if known.
     pub leader: Option<u64>,
 }
 
@@ -74,34 +77,41 @@
     Follower,
     PreCandidate(BTreeSet<u64>),
     Candidate(BTreeSet<u64>),
-    Leader(Lead),
+    Leader(LeaderState),
 }
 
 #[derive(Debug)]
-pub(super) struct Lead {
+pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<u64, Progress>,
     pub(super) heartbeat_at: Moment,
     pub(super) since: Moment,
+    /// Index of the first entry of the leader's term.
     pub(super) first_index: u64,
 }
 
-/// One replica.
+/// State machine of one replica.
+///
+/// It does no I/O: the driver passes messages and the time in, and carries out the work
+/// that [`Replica::take_ready`] returns.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) id: u64,
     pub(super) name: String,
     pub(super) durable: bool,
-    pub(super) hard: Hard,
+    pub(super) hard: HardState,
     pub(super) role: Role,
     pub(super) log: Log,
     pub(super) snapshot_crc: u32,
     pub(super) voters: Vec<Voter>,
+    /// Index of the entry or snapshot that set `voters`.
     pub(super) voters_index: u64,
     pub(super) commit: u64,
-    pub(super) handed: u64,
+    /// Index of the last entry returned to the driver for applying.
+    pub(super) delivered: u64,
+    /// Index up to which the own log is known to be stored.
     pub(super) stable: u64,
     pub(super) leader: Option<u64>,
-    pub(super) contact: Moment,
+    pub(super) leader_heard_at: Moment,
     pub(super) election_at: Moment,
     pub(super) observe_at: Moment,
     pub(super) rng: ChaCha8Rng,
@@ -110,7 +120,7 @@
 }
 
 impl Ready {
-    /// Returns whether the disk has something to store.
+    /// Returns whether there is anything to store.
     pub const fn needs_disk(&self) -> bool {
         self.hard.is_some()
             || self.snapshot.is_some()
@@ -118,17 +128,18 @@
             || !self.entries.is_empty()
     }
 
-    /// Returns whether there is nothing to do.
+    /// Returns whether there is nothing to store, send or apply.
     pub const fn is_idle(&self) -> bool {
         !self.needs_disk() && self.messages.is_empty() && self.committed.is_empty()
     }
 }
 
 impl Replica {
-    /// Makes a replica that starts at `now` from what it stored.
+    /// Makes a replica that starts at `now` from its stored state. `seed` determines its
+    /// election timeouts.
     ///
-    /// A replica that restarts does not vote before [`ELECTION_MIN`] has passed,
-    /// since it may have heard a leader just before.
+    /// A restarted replica does not vote before the shortest election timeout has
+    /// passed, since it may have heard from a leader just before the restart.
     pub fn new(id: u64, name: &str, durable: bool, stored: Stored, now: Moment, seed: u64) -> Self {
         let crc = crc32fast::hash(&stored.snapshot.data);
         let commit = stored.snapshot.index;
@@ -143,11 +154,11 @@
             voters: Vec::new(),
             voters_index: 0,
             commit,
-            handed: commit,
+            delivered: commit,
             stable: log.last_index(),
             log,
             leader: None,
-            contact: now,
+            leader_heard_at: now,
             election_at: now,
             observe_at: now,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -155,11 +166,11 @@
             ready: Ready::default(),
         };
         replica.refresh_voters();
-        replica.reset_election(now);
+        replica.reset_election_timeout(now);
         replica
     }
 
-    /// Returns this replica's identity.
+    /// Returns this replica's number, by which the others address it.
     pub const fn id(&self) -> u64 {
         self.id
     }
@@ -169,7 +180,7 @@
         self.hard.term
     }
 
-    /// Returns the replica that leads, as far as known.
+    /// Returns the current leader, as far as this replica knows.
     pub const fn leader(&self) -> Option<u64> {
         self.leader
     }
@@ -189,36 +200,39 @@
         &self.log
     }
 
-    /// Returns the voters in force.
+    /// Returns the latest voters in the log, committed or not.
     pub fn voters(&self) -> &[Voter] {
         &self.voters
     }
 
-    /// Returns whether this replica votes.
+    /// Returns whether this replica is among the voters.
     pub fn is_voter(&self) -> bool {
         self.is_voting(self.id)
     }
 
-    /// Returns whether the group has not been founded, as far as this replica knows.
+    /// Returns whether this replica knows no voters, so that the group may not have been
+    /// founded yet.
     pub const fn is_blank(&self) -> bool {
         self.voters.is_empty()
     }
 
-    /// Returns the followers and observers of a leader.
+    /// Returns the progress of each follower and observer. Empty unless this replica
+    /// leads.
     pub fn progress(&self) -> impl Iterator<Item = (u64, &Progress)> {
         let progress = match &self.role {
-            Role::Leader(lead) => Some(&lead.progress),
+            Role::Leader(leader) => Some(&leader.progress),
             _ => None,
         };
         progress.into_iter().flatten().map(|(&id, p)| (id, p))
     }
 
-    /// Founds the group: the first entry names its voters.
+    /// Founds the group with `voters`, which become the first log entry. Does nothing if
+    /// this replica knows voters or has log entries.
     pub fn found(&mut self, now: Moment, voters: Vec<Voter>) {
         if !self.is_blank() || self.log.last_index() > 0 {
             return;
         }
-        self.set_hard(1, 0);
+        self.set_hard_state(1, 0);
         self.append(Entry {
             term: 1,
             index: 1,
@@ -226,28 +240,30 @@
             voters,
         });
         self.election_at = now;
-        self.contact = Moment::ZERO;
+        self.leader_heard_at = Moment::ZERO;
     }
 
-    /// Returns whether this replica leads and no other replica can: its lease of
-    /// leadership holds and an entry of its own term is committed.
+    /// Returns whether this replica leads and no other replica can: it holds an
+    /// unexpired leader lease and has committed an entry of its own term.
     pub fn is_leased(&self, now: Moment) -> bool {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let margin = with_clock_margin(ELECTION_MIN) - ELECTION_MIN;
-        self.commit >= lead.first_index && now < self.quorum_contact(now) + (ELECTION_MIN - margin)
+        let margin = with_clock_margin(ELECTION_TIMEOUT_MIN) - ELECTION_TIMEOUT_MIN;
+        self.commit >= leader.first_index
+            && now < self.quorum_contact(now) + (ELECTION_TIMEOUT_MIN - margin)
     }
 
-    /// Returns when this replica began to lead.
+    /// Returns the time at which this replica became leader, or `None` if it does not
+    /// lead.
     pub const fn leader_since(&self) -> Option<Moment> {
         match &self.role {
-            Role::Leader(lead) => Some(lead.since),
+            Role::Leader(leader) => Some(leader.since),
             _ => None,
         }
     }
 
-    /// Adds a command to the log.
+    /// Appends a command to the log and returns its index.
     ///
     /// # Errors
     ///
@@ -268,23 +284,25 @@
         Ok(index)
     }
 
-    /// Changes the voters by one replica. Refused while another change is under
-    /// way or before an entry of this term is committed.
+    /// Proposes voters that differ from the current ones by one replica, and returns the
+    /// index of the entry.
     ///
     /// # Errors
     ///
-    /// Fails if this replica does not lead or may not change the group now.
+    /// Fails if this replica does not lead, if `voters` is empty or differs by another
+    /// number of replicas, if an earlier change is not committed yet, or if no entry of
+    /// this term is.
     pub fn propose_voters(&mut self, voters: Vec<Voter>) -> Result<u64, NotLeader> {
         let refused = NotLeader {
             leader: self.leader,
         };
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return Err(refused);
         };
         let old: BTreeSet<u64> = self.voters.iter().map(|v| v.replica).collect();
         let new: BTreeSet<u64> = voters.iter().map(|v| v.replica).collect();
         let changes = old.symmetric_difference(&new).count();
-        let settled = self.commit >= self.voters_index && self.commit >= lead.first_index;
+        let settled = self.commit >= self.voters_index && self.commit >= leader.first_index;
         if changes != 1 || new.is_empty() || !settled {
             return Err(refused);
         }
@@ -298,22 +316,22 @@
         Ok(index)
     }
 
-    /// Sends what was proposed since the last call, without waiting for a heartbeat.
+    /// Sends entries proposed since the last call, without waiting for a heartbeat.
     pub fn flush(&mut self, now: Moment) {
         if self.is_leader() {
             self.replicate(now, false);
         }
     }
 
-    /// Lets time pass.
+    /// Handles timeouts that have expired by `now`.
     pub fn tick(&mut self, now: Moment) {
         match &self.role {
             Role::Leader(_) => self.tick_leader(now),
             _ if self.is_voter() => {
                 if now >= self.election_at {
                     self.campaign(now, true);
-                    // A voter that was voted out while it was away learns of it as
-                    // an observer; nobody answers its votes.
+                    // A voter that was removed while it was unreachable gets no answer
+                    // to its vote requests. It learns of its removal as an observer.
                     self.send_observe(0);
                 }
             }
@@ -321,7 +339,8 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from another replica. A message without a body or for another
+    /// replica is ignored.
     pub fn step(&mut self, now: Moment, message: Raft) {
         let from = message.from;
         let Some(body) = message.body else {
@@ -350,7 +369,7 @@
                 self.step_snapshot_reply(now, from, message.term, reply);
             }
             RaftBody::Observe(observe) => self.step_observe(now, from, &observe),
-            RaftBody::Yield(_) => self.step_yield(now, from, message.term),
+            RaftBody::TimeoutNow(_) => self.step_timeout_now(now, from, message.term),
         }
     }
 
@@ -363,17 +382,18 @@
 
     fn take_committed(&mut self) -> Vec<Entry> {
         let mut committed = Vec::new();
-        while self.handed < self.commit {
-            let Some(entry) = self.log.get(self.handed + 1) else {
+        while self.delivered < self.commit {
+            let Some(entry) = self.log.get(self.delivered + 1) else {
                 break;
             };
-            self.handed += 1;
+            self.delivered += 1;
             committed.push(entry.clone());
         }
         committed
     }
 
-    /// Records that all work returned so far has been stored.
+    /// Records that everything returned by [`Replica::take_ready`] so far has been
+    /// stored.
     pub fn persisted(&mut self, now: Moment) {
         self.stable = self.log.last_index();
         if self.is_leader() {
@@ -381,8 +401,9 @@
         }
     }
 
-    /// Records that the log is stored up to the entry `index` of `term`, while later
-    /// entries may still be on their way to the disk.
+    /// Records that the log is stored up to the entry at `index`, while later entries
+    /// may still be in flight to the disk. Ignored if the entry at `index` no longer has
+    /// the given term.
     pub fn persisted_to(&mut self, now: Moment, index: u64, term: u64) {
         if self.log.term_at(index) != Some(term) {
             return;
@@ -393,9 +414,12 @@
         }
     }
 
-    /// Returns what a leader may send and apply before its own disk is done. Its
-    /// entries count for it only after [`Replica::persisted_to`], so followers may
-    /// have them first. Others must store before they answer, and get nothing here.
+    /// Returns the messages and committed entries that a leader may send and apply while
+    /// its own disk is still writing.
+    ///
+    /// A leader's own entries count towards a quorum only once they are recorded as
+    /// stored, so followers may receive them earlier. Replicas in other roles must store
+    /// before they reply; for them the result is empty.
     pub fn take_unstored(&mut self) -> Ready {
         if !self.is_leader() || self.ready.hard.is_some() {
             return Ready::default();
@@ -408,10 +432,12 @@
         }
     }
 
-    /// Compacts the log by a snapshot of the state after entry `index`.
+    /// Compacts the log with `data`, a snapshot of the state after the entry at `index`.
+    /// Returns the snapshot to store, or `None` if the entry has not been returned for
+    /// applying or is already covered by a snapshot.
     pub fn compact(&mut self, index: u64, data: Bytes) -> Option<Snapshot> {
         let term = self.log.term_at(index)?;
-        if index > self.handed || index <= self.log.snapshot().index {
+        if index > self.delivered || index <= self.log.snapshot().index {
             return None;
         }
         let snapshot = Snapshot {
@@ -439,8 +465,8 @@
         self.voters = voters.to_vec();
     }
 
-    pub(super) fn set_hard(&mut self, term: u64, vote: u64) {
-        self.hard = Hard { term, vote };
+    pub(super) fn set_hard_state(&mut self, term: u64, vote: u64) {
+        self.hard = HardState { term, vote };
         self.ready.hard = Some(self.hard);
     }
 
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -1,13 +1,13 @@
-//! Records of the log file: length, checksum, content.
+//! Framing of the records in the log and snapshot files: length, checksum, content.
 
 use bytes::{BufMut, Bytes};
 
-/// Bytes before the content: length and CRC-32, four bytes each.
-pub const HEAD_BYTES: usize = 8;
-/// Largest content of a record, in bytes.
-const CONTENT_MAX: usize = 32 << 20;
+/// Size of the header before the content: length and CRC-32, four bytes each.
+pub const HEADER_BYTES: usize = 8;
+/// Largest content of a record that is accepted when reading.
+const CONTENT_MAX_BYTES: usize = 32 << 20;
 
-/// Appends a record to `buf`.
+/// Appends a record with the given content to `buf`.
 pub fn put(buf: &mut Vec<u8>, content: &[u8]) {
     let length = u32::try_from(content.len()).expect("record below 4 GiB");
     buf.put_u32_le(length);
@@ -15,45 +15,46 @@
     buf.put_slice(content);
 }
 
-/// What stands at a position of a log file.
+/// Result of reading at a position of a file.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found {
-    /// A whole record and the position after it.
+pub enum Parsed {
+    /// Content of an intact record, and the position after it.
     Record(Bytes, usize),
     /// The end of the file.
     End,
-    /// Bytes that are no record.
-    Damage,
+    /// Bytes that are not an intact record.
+    Damaged,
 }
 
-/// Reads the record at `at`.
-pub fn get(file: &Bytes, at: usize) -> Found {
+/// Reads the record that starts at position `at`, which must not lie beyond the end.
+pub fn get(file: &Bytes, at: usize) -> Parsed {
     let rest = file.len() - at;
     if rest == 0 {
-        return Found::End;
+        return Parsed::End;
     }
-    if rest < HEAD_BYTES {
-        return Found::Damage;
+    if rest < HEADER_BYTES {
+        return Parsed::Damaged;
     }
-    let word = |at: usize| u32::from_le_bytes(file[at..at + 4].try_into().expect("four bytes"));
-    let (length, crc) = (word(at), word(at + 4));
+    let read_u32 = |at: usize| u32::from_le_bytes(file[at..at + 4].try_into().expect("four bytes"));
+    let (length, crc) = (read_u32(at), read_u32(at + 4));
     let size = length as usize;
-    if size > CONTENT_MAX || size > rest - HEAD_BYTES {
-        return Found::Damage;
+    if size > CONTENT_MAX_BYTES || size > rest - HEADER_BYTES {
+        return Parsed::Damaged;
     }
-    let content = file.slice(at + HEAD_BYTES..at + HEAD_BYTES + size);
+    let content = file.slice(at + HEADER_BYTES..at + HEADER_BYTES + size);
     if checksum(length, &content) != crc {
-        return Found::Damage;
+        return Parsed::Damaged;
     }
-    Found::Record(content, at + HEAD_BYTES + size)
+    Parsed::Record(content, at + HEADER_BYTES + size)
 }
 
-/// Returns whether a whole record starts anywhere after `at`.
-pub fn any_after(file: &Bytes, at: usize) -> bool {
+/// Returns whether an intact record starts anywhere after position `at`.
+pub fn any_record_after(file: &Bytes, at: usize) -> bool {
     (at + 1..file.len()).any(|at| {
-        // An empty record is no evidence: eight zero bytes are not one, but the
-        // content of other records may hold such a pattern by chance.
-        matches!(get(file, at), Found::Record(content, _) if !content.is_empty())
+        // Empty records do not count: the content of another record may contain the
+        // eight bytes of one by chance. Eight zero bytes are not an empty record, as its
+        // checksum is not zero.
+        matches!(get(file, at), Parsed::Record(content, _) if !content.is_empty())
     })
 }
 
--- a/src/store/wal.rs
+++ b/src/store/wal.rs
@@ -1,4 +1,4 @@
-//! The replica's term, vote, snapshot and log on disk.
+//! Write-ahead log: a replica's term, vote, snapshot and log entries on disk.
 
 use std::fs::File;
 use std::io::{Seek, SeekFrom, Write};
@@ -7,17 +7,17 @@
 use prost::{Message, Oneof};
 
 use super::folder::{Folder, open_private, write_atomically};
-use super::record::{self, Found};
-use crate::core::consensus::{Hard, Ready, Snapshot, Stored};
+use super::record::{self, Parsed};
+use crate::core::consensus::{HardState, Ready, Snapshot, Stored};
 use crate::error::{Error, Kind, Result};
 use crate::wire::{Entry, Voter};
 
-const LOG: &str = "log";
-const SNAPSHOT: &str = "snapshot";
+const LOG_FILE: &str = "log";
+const SNAPSHOT_FILE: &str = "snapshot";
 
 /// One record of the log file.
 #[derive(Clone, PartialEq, Message)]
-struct Line {
+struct Record {
     #[prost(oneof = "Content", tags = "1, 2, 3")]
     content: Option<Content>,
 }
@@ -25,21 +25,21 @@
 #[derive(Clone, PartialEq, Oneof)]
 enum Content {
     #[prost(message, tag = "1")]
-    Hard(HardLine),
+    Hard(HardStateRecord),
     #[prost(message, tag = "2")]
     Entry(Entry),
-    /// Removes the entries from this index on.
+    /// Truncates the log: removes the entries from this index on.
     #[prost(uint64, tag = "3")]
     Truncate(u64),
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-struct HardLine {
+struct HardStateRecord {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(fixed64, tag = "2")]
     vote: u64,
-    /// Number of snapshots of other replicas that the log file follows.
+    /// Number of snapshots received from other replicas before the log file was written.
     #[prost(uint64, tag = "3")]
     generation: u64,
 }
@@ -54,52 +54,54 @@
     voters: Vec<Voter>,
     #[prost(bytes = "bytes", tag = "4")]
     data: Bytes,
-    /// Entries of a log file of an earlier generation do not follow this snapshot.
+    /// Generation of the log file that continues this snapshot. The entries of a log
+    /// file of an earlier generation do not follow it.
     #[prost(uint64, tag = "5")]
     generation: u64,
 }
 
-/// The log file, open for appending.
+/// Write-ahead log of a replica, with its log file open for appending.
 #[derive(Debug)]
 pub struct Wal {
     folder: Folder,
     file: File,
     end: u64,
-    hard: Hard,
+    hard: HardState,
     generation: u64,
 }
 
 impl Wal {
-    /// Reads what the folder holds and opens the log for appending. A torn tail is
-    /// cut off.
+    /// Reads the state that the folder holds and opens the log file for appending. An
+    /// incomplete record at the end of the file, as a crash leaves it, is cut off.
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be read or is damaged elsewhere than at its tail.
+    /// Fails if a file cannot be read, if the snapshot is damaged, if the log file is
+    /// damaged elsewhere than at its end, or if the log has a gap.
     pub fn open(folder: Folder) -> Result<(Self, Stored)> {
         let (snapshot, generation) = read_snapshot(&folder)?;
-        let path = folder.path().join(LOG);
+        let path = folder.path().join(LOG_FILE);
         let bytes: Bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes.into(),
             Err(err) if err.kind() == std::io::ErrorKind::NotFound => Bytes::new(),
             Err(err) => return Err(err.into()),
         };
-        let (lines, end) = read_lines(&bytes).map_err(|at| {
+        let (records, end) = read_records(&bytes).map_err(|at| {
             let message = format!("{} is damaged at byte {at}", path.display());
             Error::new(Kind::Internal, message)
         })?;
-        let first = lines.first().cloned();
+        let first = records.first().cloned();
         let mut stored = Stored {
             snapshot,
             ..Stored::default()
         };
-        for line in lines {
-            replay(&mut stored, line);
+        for record in records {
+            replay(&mut stored, record);
         }
-        if first.map_or(0, |line| log_generation(&line)) < generation {
+        if first.map_or(0, |record| log_generation(&record)) < generation {
             stored.entries.clear();
         }
-        check_sequence(&stored)?;
+        check_contiguous(&stored)?;
         let file = open_private(&path)?;
         file.set_len(end as u64)?;
         file.sync_all()?;
@@ -114,25 +116,27 @@
         Ok((wal, stored))
     }
 
-    /// Returns the size of the log file, in bytes.
+    /// Returns the length of the log file, in bytes.
     pub const fn size(&self) -> u64 {
         self.end
     }
 
-    /// Returns the identity of the replica.
+    /// Returns the number of the replica whose state this is.
     pub const fn replica(&self) -> u64 {
         self.folder.replica()
     }
 
-    /// Stores what `ready` holds and syncs it.
+    /// Writes the term and vote, snapshot, truncation and entries of `ready` and syncs
+    /// them.
     ///
     /// # Errors
     ///
-    /// Fails if it could not be synced, as on a full disk. The file is then as
-    /// before, and the call may be repeated.
+    /// Fails if the data could not be written or synced, for example on a full disk. The
+    /// call may then be repeated; records that were written in part are cut off.
     pub fn store(&mut self, ready: &Ready) -> std::io::Result<()> {
         if let Some(snapshot) = &ready.snapshot {
-            // A crash between the two steps must not join the old log to it.
+            // After a crash between the two writes, the old log must not be taken for
+            // the continuation of the new snapshot.
             self.generation += 1;
             self.write_snapshot(snapshot)?;
             self.rewrite(ready.hard.unwrap_or(self.hard), &ready.entries)?;
@@ -140,13 +144,13 @@
         }
         let mut buf = Vec::new();
         if let Some(hard) = ready.hard {
-            put(&mut buf, hard_line(hard, self.generation));
+            put_record(&mut buf, hard_state_record(hard, self.generation));
         }
         if let Some(from) = ready.truncate_from {
-            put(&mut buf, Content::Truncate(from));
+            put_record(&mut buf, Content::Truncate(from));
         }
         for entry in &ready.entries {
-            put(&mut buf, Content::Entry(entry.clone()));
+            put_record(&mut buf, Content::Entry(entry.clone()));
         }
         if buf.is_empty() {
             return Ok(());
@@ -156,12 +160,13 @@
         Ok(())
     }
 
-    /// Stores a snapshot of the replica's own state and drops the log before it.
+    /// Stores a snapshot of the replica's own state, and replaces the log file by one
+    /// that holds `entries`, those after the snapshot.
     ///
     /// # Errors
     ///
-    /// Fails if it could not be synced; log and old snapshot are then unchanged or
-    /// complete with the new one.
+    /// Fails if the data could not be written or synced. The snapshot and the log file
+    /// may then each be the old or the new one; what they hold together is complete.
     pub fn compact(&mut self, snapshot: &Snapshot, entries: &[Entry]) -> std::io::Result<()> {
         self.write_snapshot(snapshot)?;
         self.rewrite(self.hard, entries)
@@ -174,7 +179,7 @@
             .and_then(|_| self.file.write_all(buf))
             .and_then(|()| self.file.sync_data());
         if let Err(err) = written {
-            // What was written in part must not be taken for a record later.
+            // A partly written record must not be followed by others.
             self.file.set_len(self.end)?;
             return Err(err);
         }
@@ -192,48 +197,48 @@
         };
         let mut buf = Vec::new();
         record::put(&mut buf, &file.encode_to_vec());
-        write_atomically(self.folder.path(), SNAPSHOT, &buf)
+        write_atomically(self.folder.path(), SNAPSHOT_FILE, &buf)
     }
 
-    fn rewrite(&mut self, hard: Hard, entries: &[Entry]) -> std::io::Result<()> {
+    fn rewrite(&mut self, hard: HardState, entries: &[Entry]) -> std::io::Result<()> {
         let mut buf = Vec::new();
-        put(&mut buf, hard_line(hard, self.generation));
+        put_record(&mut buf, hard_state_record(hard, self.generation));
         for entry in entries {
-            put(&mut buf, Content::Entry(entry.clone()));
+            put_record(&mut buf, Content::Entry(entry.clone()));
         }
-        write_atomically(self.folder.path(), LOG, &buf)?;
-        self.file = open_private(&self.folder.path().join(LOG))?;
+        write_atomically(self.folder.path(), LOG_FILE, &buf)?;
+        self.file = open_private(&self.folder.path().join(LOG_FILE))?;
         self.end = buf.len() as u64;
         self.hard = hard;
         Ok(())
     }
 }
 
-const fn hard_line(hard: Hard, generation: u64) -> Content {
-    Content::Hard(HardLine {
+const fn hard_state_record(hard: HardState, generation: u64) -> Content {
+    Content::Hard(HardStateRecord {
         term: hard.term,
         vote: hard.vote,
         generation,
     })
 }
 
-fn put(buf: &mut Vec<u8>, content: Content) {
-    let line = Line {
+fn put_record(buf: &mut Vec<u8>, content: Content) {
+    let record = Record {
         content: Some(content),
     };
-    record::put(buf, &line.encode_to_vec());
+    record::put(buf, &record.encode_to_vec());
 }
 
 fn read_snapshot(folder: &Folder) -> Result<(Snapshot, u64)> {
-    let path = folder.path().join(SNAPSHOT);
+    let path = folder.path().join(SNAPSHOT_FILE);
     let bytes: Bytes = match std::fs::read(&path) {
         Ok(bytes) => bytes.into(),
         Err(err) if err.kind() == std::io::ErrorKind::NotFound => return Ok(Default::default()),
         Err(err) => return Err(err.into()),
     };
     let file = match record::get(&bytes, 0) {
-        Found::Record(content, _) => SnapshotFile::decode(content).ok(),
-        Found::End | Found::Damage => None,
+        Parsed::Record(content, _) => SnapshotFile::decode(content).ok(),
+        Parsed::End | Parsed::Damaged => None,
     };
     let Some(file) = file else {
         let message = format!("{} is damaged", path.display());
@@ -248,26 +253,28 @@
     Ok((snapshot, file.generation))
 }
 
-// Yields the records and the position after the last, or the position of damage
-// that is not a torn tail.
-fn read_lines(bytes: &Bytes) -> Result<(Vec<Content>, usize), usize> {
-    let mut lines = Vec::new();
+// Returns the records and the position after the last one, or as an error the position of
+// damage that is not at the end of the file. Damage counts as an incomplete write at the
+// end if no intact record follows it.
+fn read_records(bytes: &Bytes) -> Result<(Vec<Content>, usize), usize> {
+    let mut records = Vec::new();
     let mut at = 0;
     loop {
         match record::get(bytes, at) {
-            Found::Record(content, next) => {
-                let line = Line::decode(content).map_err(|_| at)?;
-                lines.extend(line.content);
+            Parsed::Record(content, next) => {
+                let record = Record::decode(content).map_err(|_| at)?;
+                records.extend(record.content);
                 at = next;
             }
-            Found::End => return Ok((lines, at)),
-            Found::Damage if record::any_after(bytes, at) => return Err(at),
-            Found::Damage => return Ok((lines, at)),
+            Parsed::End => return Ok((records, at)),
+            Parsed::Damaged if record::any_record_after(bytes, at) => return Err(at),
+            Parsed::Damaged => return Ok((records, at)),
         }
     }
 }
 
-// Every log file but the first of a folder starts with its generation.
+// A log file starts with a record that holds its generation, except for the first one of
+// a folder, which is of generation 0.
 const fn log_generation(first: &Content) -> u64 {
     match first {
         Content::Hard(hard) => hard.generation,
@@ -275,16 +282,15 @@
     }
 }
 
-fn replay(stored: &mut Stored, line: Content) {
-    match line {
+fn replay(stored: &mut Stored, content: Content) {
+    match content {
         Content::Hard(hard) => {
-            stored.hard = Hard {
+            stored.hard = HardState {
                 term: hard.term,
                 vote: hard.vote,
             };
         }
-        // Entries that the snapshot contains are left over from a compaction that
-        // was cut short.
+        // A crash during compaction can leave entries that the snapshot already covers.
         Content::Entry(entry) if entry.index > stored.snapshot.index => {
             stored.entries.push(entry);
         }
@@ -293,10 +299,10 @@
     }
 }
 
-fn check_sequence(stored: &Stored) -> Result<()> {
+fn check_contiguous(stored: &Stored) -> Result<()> {
     for (next, entry) in (stored.snapshot.index + 1..).zip(&stored.entries) {
         if entry.index != next {
-            let message = format!("the log lacks entry {next}");
+            let message = format!("log entry {next} is missing");
             return Err(Error::new(Kind::Internal, message));
         }
     }
