--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -1,5 +1,5 @@
-//! The entry instance's side of the allotments: reports to zone leaders and takes
-//! what they allot into the gate.
+//! The entry instance's side of allotments: reports demand to the zone leaders and
+//! applies their allotments to the gate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::core::time::Moment;
 use crate::wire;
 
-/// Interval of reports while nothing waits.
+/// Interval of reports while no requests wait.
 const REPORT_EVERY: Duration = Duration::from_millis(250);
 /// Interval of reports while requests wait.
 const REPORT_STARVED_EVERY: Duration = Duration::from_millis(40);
-/// Waiting time after which other zones are asked for slots.
+/// Waiting time of requests after which other zones are asked for slots.
 const REMOTE_AFTER: Duration = Duration::from_millis(300);
 
-/// Balances that newly opened accounts start from.
+/// Initial balances that are reported when accounts are reopened.
 #[derive(Clone, Debug, Default)]
 struct Opening {
     slots: Vec<(Cell, u64)>,
@@ -26,7 +26,7 @@
     kept_idle: bool,
 }
 
-/// The relation to the leader of one zone.
+/// State of the exchange with the leader of one zone.
 #[derive(Debug)]
 struct Source {
     key: SourceKey,
@@ -42,7 +42,7 @@
     applied: u64,
 }
 
-/// Reports of one entry instance to all zone leaders.
+/// Exchange of one entry instance with the leaders of all zones.
 #[derive(Debug)]
 pub struct Agent {
     zone: String,
@@ -52,7 +52,7 @@
 }
 
 impl Agent {
-    /// Makes the agent of an entry instance in `zone`.
+    /// Creates the agent of an entry instance in `zone`.
     pub const fn new(zone: String) -> Self {
         Self {
             zone,
@@ -67,18 +67,18 @@
         self.leaving = true;
     }
 
-    /// Returns the position in the log that the own zone's leader had applied at
-    /// its latest allotment.
+    /// Returns the log index that the leader of this instance's zone had applied at
+    /// its latest allotment, or 0.
     pub fn zone_applied(&self) -> u64 {
         self.sources.get(&self.zone).map_or(0, |s| s.applied)
     }
 
-    /// Returns the key of the own zone's leader in the gate, if it has one.
+    /// Returns the gate's key for the leader of this instance's zone, if known.
     pub fn own_source(&self) -> Option<SourceKey> {
         self.sources.get(&self.zone).map(|s| s.key)
     }
 
-    /// Takes the leaders of all zones.
+    /// Sets the leader of a zone.
     pub fn set_leader(&mut self, gate: &mut Gate, zone: &str, leader: InstanceId) {
         let next = u16::try_from(self.sources.len()).expect("fewer than 65,536 zones");
         let local = zone == self.zone;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns the reports due at `now` with their receivers.
+    /// Returns the reports due at `now`, each with its receiver.
     pub fn tick(&mut self, now: Moment, gate: &mut Gate) -> Vec<(InstanceId, wire::Report)> {
         let starved = gate.is_starved();
         if !starved {
@@ -139,7 +139,8 @@
         reports
     }
 
-    /// Takes an allotment from the leader of a zone.
+    /// Applies an allotment from the leader of a zone. Allotments of another epoch
+    /// are ignored.
     pub fn take(&mut self, gate: &mut Gate, now: Moment, allotment: &wire::Allotment) {
         let Some(source) = self.sources.get_mut(&allotment.zone) else {
             return;
@@ -174,7 +175,8 @@
             }
         }
         if !allotment.recall_slots.is_empty() || !allotment.recall_units.is_empty() {
-            // The return is reported at the next tick.
+            // Reports the returned units at the next tick instead of waiting for the
+            // regular interval.
             source.sent_at = Moment::ZERO;
         }
     }
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -1,4 +1,4 @@
-//! Claims on request ids: a non-idempotent request runs at most once under its id.
+//! Claims on request IDs. A non-idempotent request runs at most once for each ID.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -9,75 +9,75 @@
 use crate::core::time::Moment;
 use crate::error::Kind;
 
-/// Claims that one zone leader remembers. Beyond it new ids are refused.
+/// Maximum number of claims at one zone leader. Further IDs are refused.
 pub const CLAIMS_MAX: usize = 100_000;
-/// Bytes of answers that one zone leader keeps.
+/// Maximum total size of the answer bodies kept by one zone leader.
 pub const ANSWER_BYTES_MAX: usize = 4 << 20;
-/// Largest answer that is kept.
+/// Maximum size of one answer body that is kept.
 pub const ANSWER_MAX: usize = 64 << 10;
 
-/// Identity of a claim: digest of team and request id.
+/// Identity of a claim: the digest of team and request ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Id(pub [u8; 16]);
 
 impl Id {
-    /// Returns the identity of a team's request id.
+    /// Returns the identity for a request ID of `team`.
     pub fn of(team: &str, request: &str) -> Self {
         let digest = crate::util::sha256(format!("{team}\n{request}").as_bytes());
         Self(digest[..16].try_into().expect("16 of 32 bytes"))
     }
 }
 
-/// A whole answer as it is kept.
+/// A complete answer, kept to be returned for repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type, if any.
+    /// Value of the `Content-Type` header, if any.
     pub content_type: Option<String>,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// What became of a claimed request.
+/// State of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The owner may be running it.
+    /// The owner may be running the request.
     Running,
-    /// It was answered; the answer is kept if it is small and recent.
+    /// The request was answered. The answer is kept if it is small and recent.
     Answered(Option<Answer>),
-    /// It was sent and how it ended is not known.
+    /// The request was sent but its outcome is not known.
     Unknown,
 }
 
-/// A claim.
+/// A claim as it is copied between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Identity.
+    /// Identity of the claim.
     pub id: Id,
-    /// Digest of method, path and body.
+    /// Digest of the request's method, path and body.
     pub body: u64,
-    /// Instance that runs it.
+    /// Instance that runs the request.
     pub owner: InstanceId,
-    /// Age of the claim.
+    /// Time since the claim was made.
     pub age: Duration,
-    /// What became of it.
+    /// State of the claimed request.
     pub state: State,
 }
 
-/// Answer to an attempt to claim.
+/// Result of an attempt to claim a request ID.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The claim is the caller's: it may run the request.
+    /// The caller holds the claim and may run the request.
     Granted,
-    /// The request ran before; here is its answer.
+    /// The request ran before and gave this answer.
     Repeat(Answer),
-    /// The request is not to be run.
+    /// The request must not be run, for this reason.
     Refused(Kind),
 }
 
@@ -89,7 +89,7 @@
     state: State,
 }
 
-/// Claims whose home is one zone, at its leader or at a holder of copies.
+/// Claims of one home zone, held by its leader or by an instance with copies.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: BTreeMap<Id, Entry>,
@@ -106,28 +106,29 @@
         self.entries.len()
     }
 
-    /// Returns whether there is no claim.
+    /// Returns whether the table has no claims.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Records that claims made before `now` may be missing.
+    /// Records that claims made before `now` may be missing from the table.
     pub const fn lose_memory(&mut self, now: Moment) {
         self.complete_from = Some(now);
     }
 
-    /// Records that `leader` has sent all its claims.
+    /// Records that the table holds all claims sent by `leader`.
     pub const fn set_synced_by(&mut self, leader: InstanceId) {
         self.synced_by = Some(leader);
     }
 
-    /// Returns the leader that has sent all its claims.
+    /// Returns the leader whose claims are all in the table.
     pub const fn synced_by(&self) -> Option<InstanceId> {
         self.synced_by
     }
 
-    /// Claims `id` for `owner`. `minted_age` is the age of an id that the system
-    /// minted, and `None` for one that the caller chose.
+    /// Claims `id` for `owner`. The age is that of an ID generated by the system,
+    /// or `None` for an ID chosen by the caller. An ID is refused if an earlier
+    /// claim on it may have expired or be missing from the table.
     pub fn claim(
         &mut self,
         now: Moment,
@@ -168,7 +169,7 @@
         self.order.push_back((at, id));
     }
 
-    /// Records how the owner's run ended.
+    /// Records that the owner's run ended, with the answer if it is kept.
     pub fn finish(&mut self, id: Id, owner: InstanceId, answer: Option<Answer>) {
         let Some(entry) = self.entries.get_mut(&id).filter(|e| e.owner == owner) else {
             return;
@@ -185,14 +186,15 @@
         self.shed_answers();
     }
 
-    /// Records that the owner's run broke off after it was sent.
+    /// Records that the outcome of the owner's run is unknown: it was sent, but
+    /// no complete answer came back.
     pub fn lose(&mut self, id: Id, owner: InstanceId) {
         if let Some(entry) = self.entries.get_mut(&id).filter(|e| e.owner == owner) {
             entry.state = State::Unknown;
         }
     }
 
-    /// Removes a claim whose owner proved that nothing was sent.
+    /// Removes a running claim after its owner reports that nothing was sent.
     pub fn release(&mut self, id: Id, owner: InstanceId) {
         if self
             .entries
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Records that runs of `owner` can no longer be answered.
+    /// Records that the outcome of all running claims of `owner` is unknown.
     pub fn lose_owner(&mut self, owner: InstanceId) {
         for entry in self.entries.values_mut() {
             if entry.owner == owner && entry.state == State::Running {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Takes copies. A later state replaces an earlier one.
+    /// Merges copies. A final state replaces `Running`.
     pub fn merge(&mut self, now: Moment, records: Vec<Record>) {
         for record in records {
             let at = Moment(now.0.saturating_sub(record.age.as_micros() as u64));
@@ -242,7 +244,7 @@
         self.drop_entry(id);
     }
 
-    /// Returns the claim under `id`.
+    /// Returns the claim on `id`, with its answer.
     pub fn record(&self, now: Moment, id: Id) -> Option<Record> {
         let entry = self.entries.get(&id)?;
         Some(Record {
@@ -271,7 +273,7 @@
             .collect()
     }
 
-    /// Returns the owners of claims that may be running.
+    /// Returns the owners of running claims.
     pub fn running_owners(&self) -> BTreeSet<InstanceId> {
         self.entries
             .values()
@@ -280,7 +282,7 @@
             .collect()
     }
 
-    /// Forgets claims older than the retention.
+    /// Removes claims that are older than `retention`.
     pub fn expire(&mut self, now: Moment, retention: Duration) {
         while let Some(&(at, id)) = self.order.front() {
             if now < at + retention {
@@ -334,7 +336,7 @@
     }
 }
 
-/// Returns the home zone of a request id: by rendezvous hash over the zones.
+/// Returns the home zone of a request ID, chosen by rendezvous hashing.
 ///
 /// Source: Thaler and Ravishankar, Using name-based mappings to increase hit rates.
 pub fn home_zone<'a>(id: Id, zones: impl Iterator<Item = &'a str>) -> Option<&'a str> {
@@ -345,58 +347,58 @@
     })
 }
 
-/// An attempt to claim a request id at its home zone.
+/// Request to claim a request ID at its home zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Attempt {
-    /// Home zone.
+    /// Home zone of the request ID.
     pub home: String,
     /// Identity of the claim.
     pub id: Id,
-    /// Digest of method, path and body.
+    /// Digest of the request's method, path and body.
     pub body: u64,
     /// Instance that wants to run the request.
     pub owner: InstanceId,
-    /// Age of an id that the system minted.
+    /// Age of an ID generated by the system, or `None` if the caller chose it.
     pub minted_age: Option<Duration>,
 }
 
-/// How a claimed run ended.
+/// Outcome of a claimed run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// With this answer; `None` if it is too large to keep.
+    /// The request was answered; `None` if the answer is too large to keep.
     Answered(Option<Answer>),
-    /// Unknown.
+    /// The request was sent but its outcome is not known.
     Lost,
-    /// Nothing was sent.
+    /// Nothing was sent to an upstream, so the ID can be claimed again.
     Released,
 }
 
-/// Report of the owner of a claim.
+/// Report by the owner of a claim to its home zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settlement {
-    /// Home zone.
+    /// Home zone of the request ID.
     pub home: String,
     /// Identity of the claim.
     pub id: Id,
-    /// Instance that ran it.
+    /// Instance that ran the request.
     pub owner: InstanceId,
-    /// How it ended.
+    /// Outcome of the run.
     pub end: End,
 }
 
-/// Copies of claims of one zone.
+/// Copies of claims of one home zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Batch {
-    /// Home zone.
+    /// Home zone of the claims.
     pub zone: String,
-    /// Claims.
+    /// Claims to merge.
     pub records: Vec<Record>,
-    /// Claims that were released.
+    /// Claims that were released and must be removed.
     pub removed: Vec<Id>,
-    /// Leader that has sent all its claims with this batch.
+    /// Leader all of whose claims have been sent, up to and including this batch.
     pub synced_by: Option<InstanceId>,
 }
--- a/src/core/control/claims.rs
+++ b/src/core/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on request ids at their home zone: granting, copying, recovery.
+//! Claims on request IDs at their home zone: granting, replication and recovery.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,20 +9,21 @@
 use crate::core::time::Moment;
 use crate::error::{Error, Kind};
 
-/// Numbers from here on name calls of the control state itself.
+/// First call number of the range used by the control state itself.
 const INTERNAL: u64 = 1 << 63;
-/// Call of a zone's report to the root leader.
+/// Call number of a zone's demand reports to the root leader.
 pub const WANTS_CALL: u64 = INTERNAL;
-/// Longest wait for copies from the members of the former roster.
+/// Maximum time that a new leader waits for copies from the former roster.
 const RECOVERY_MAX: Duration = Duration::from_millis(1_500);
-/// Interval at which members without all claims are sent them.
+/// Interval at which all claims are sent to members that lack some.
 const SYNC_EVERY: Duration = Duration::from_millis(1_000);
-/// Claims in one message.
+/// Maximum number of claims in one message.
 const BATCH_MAX: usize = 4_000;
-/// Copies outside of the zone when it has no other instance.
+/// Number of instances in other zones that get copies if the zone has no other
+/// instance.
 const OUTSIDE_COPIES: usize = 2;
 
-/// A claim that waits for its first copy.
+/// A claim that is granted once its first copy is confirmed.
 #[derive(Debug)]
 struct Waiting {
     origin: Origin,
@@ -31,7 +32,7 @@
     left: usize,
 }
 
-/// Copies of claims under way.
+/// Replication state of the claims.
 #[derive(Debug, Default)]
 pub struct Copies {
     next: u64,
@@ -42,7 +43,7 @@
     sync_at: Moment,
 }
 
-/// What an internal call is for.
+/// Purpose of an internal call.
 #[derive(Clone, Copy, Debug)]
 enum Purpose {
     Copy(u64),
@@ -51,7 +52,7 @@
     Update,
 }
 
-/// Copies being collected by a new zone leader.
+/// Recovery of claims by a new zone leader.
 #[derive(Debug)]
 struct Recovery {
     missing: BTreeSet<InstanceId>,
@@ -60,7 +61,7 @@
     until: Moment,
 }
 
-/// Returns whether the control state itself asked under this number.
+/// Returns whether `call` was made by the control state itself.
 pub const fn is_internal(call: u64) -> bool {
     call >= INTERNAL
 }
@@ -71,7 +72,7 @@
             && attempt.home == self.me.zone
             && self.copies.recovery.is_none();
         if !ready {
-            let message = "the home zone of this id is not ready";
+            let message = "the home zone of this request id has no leader ready to grant claims";
             let err = Error::new(Kind::ClaimUnavailable, message);
             self.answer(now, origin, Answer::Failed(err));
             return;
@@ -128,7 +129,7 @@
         self.answer(now, origin, Answer::Done);
     }
 
-    // All other members of the zone, so that any of them can take over.
+    // All other instances of the zone, so that each of them can become leader.
     fn copy_targets(&self) -> Vec<InstanceId> {
         let peers = self.peers.values().map(|k| &k.peer);
         let own: Vec<InstanceId> = peers
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Collects the claims of the former leader from the members of its roster.
+    /// Starts to collect the former leader's claims from the members of its roster.
     pub(super) fn recover_claims(&mut self, now: Moment, former: Option<&Leadership>) {
         self.copies.synced.clear();
         let Some(former) = former else {
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control state of one instance: a pure machine that takes inputs and
-//! returns effects. One thread drives it.
+//! Control state of one instance: a state machine without I/O that takes inputs
+//! and returns effects. It is driven by one thread.
 
 mod claims;
 mod peers;
@@ -32,101 +32,101 @@
 use crate::event::Event;
 use crate::wire::{Body, Voter};
 
-/// Interval at which pings tell of all known peers.
+/// Interval at which pings carry the addresses of all known peers.
 const GOSSIP_EVERY: Duration = Duration::from_secs(5);
 /// Interval of pings on each link.
 const PING_EVERY: Duration = Duration::from_millis(500);
-/// A peer that was silent for this long is taken to be gone.
+/// Silence after which a peer counts as disconnected.
 pub const PEER_SILENCE_MAX: Duration = Duration::from_millis(2_500);
-/// A gap between ticks above this is a pause of this process.
+/// Gap between ticks above which this process counts as having been paused.
 const OWN_PAUSE_MIN: Duration = Duration::from_millis(500);
-/// Interval at which withdrawals are proposed until they are committed.
+/// Interval at which key revocations are proposed until they are committed.
 const WITHDRAW_EVERY: Duration = Duration::from_secs(1);
-/// A question is given up after this long.
+/// Time after which a call to another instance fails if it was not answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Bytes of log after which a snapshot is made.
+/// Size of the log from which on a snapshot is made.
 const COMPACT_BYTES: usize = 2 << 20;
-/// Entries of log after which a snapshot is made.
+/// Number of log entries from which on a snapshot is made.
 const COMPACT_ENTRIES: usize = 4_096;
 
-/// Another instance as this one knows it.
+/// Properties of another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for peers.
+    /// Address for connections from peers.
     pub address: String,
-    /// Identity as a replica.
+    /// ID of its replica of the root group.
     pub replica: u64,
-    /// Whether it has a disk.
+    /// Whether it stores the log on disk.
     pub durable: bool,
-    /// Whether it has joined a founded group.
+    /// Whether its replica belongs to a root group that was already founded.
     pub founded: bool,
 }
 
-/// What this instance is.
+/// Properties of this instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for peers.
+    /// Address for connections from peers.
     pub address: String,
-    /// Identity as a replica.
+    /// ID of its replica of the root group.
     pub replica: u64,
-    /// Whether it has a disk.
+    /// Whether it stores the log on disk.
     pub durable: bool,
     /// Names of the instances that found the root group.
     pub founders: Vec<String>,
-    /// A voter that was silent for longer is replaced by a spare.
+    /// Silence after which a spare replaces a voter.
     pub replace_after: Duration,
 }
 
-/// Something that happened.
+/// Input to the state machine.
 #[derive(Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Periodic clock tick.
     Tick,
-    /// A link came up.
+    /// A link to a peer was established.
     PeerUp(Peer),
-    /// A link went down.
+    /// A link to a peer was lost.
     PeerDown(InstanceId),
-    /// A message came.
+    /// A message from a peer arrived.
     Message(InstanceId, Body),
-    /// A local question.
+    /// A query from this process.
     Ask {
-        /// Number that the answer repeats.
+        /// Call number that the reply carries.
         call: u64,
-        /// Who is to answer.
+        /// Instance that should answer.
         target: Target,
-        /// Question.
+        /// Query to answer.
         query: Query,
     },
-    /// A planned stop begins.
+    /// A planned stop of this instance begins.
     Leave,
 }
 
-/// Something to do.
+/// Action that the driver should perform.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a message.
+    /// Send a message to an instance.
     Send(InstanceId, Body),
-    /// Answer a local question.
+    /// Answer the local query with this call number.
     Reply(u64, Answer),
-    /// Record an event.
+    /// Record an event in the event log.
     Event(Event),
-    /// The registry, the tombstones or the freshness changed.
+    /// Publish the registry, the tombstones and the freshness, which may have changed.
     Publish,
 }
 
-/// Where an answer goes.
+/// Receiver of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
     Local(u64),
@@ -187,7 +187,7 @@
 }
 
 impl Control {
-    /// Makes the control state of an instance that starts at `now`.
+    /// Creates the control state of an instance that starts at `now`.
     pub fn new(
         me: Identity,
         gate: Arc<Mutex<Gate>>,
@@ -240,30 +240,32 @@
         control
     }
 
-    /// Returns the replicated state as far as it is known here.
+    /// Returns the replicated state as applied at this instance.
     pub const fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Returns the names of keys whose withdrawal was heard of.
+    /// Returns the names of keys known to be revoked, including revocations that are
+    /// not yet committed.
     pub const fn tombstones(&self) -> &BTreeSet<String> {
         &self.tombstones
     }
 
-    /// Returns the moment up to which all commits are known.
+    /// Returns the moment up to which all commits are applied, if known.
     pub const fn fresh_as_of(&self) -> Option<Moment> {
         self.fresh.as_of()
     }
 
-    /// Returns until when keys count as verified by the root group.
+    /// Returns the moment until which keys count as verified by the root group.
     pub fn root_vouches_until(&self) -> Moment {
         let freshness = self.registry.config.cell.freshness;
         let as_of = self.fresh.as_of();
         as_of.map_or(Moment::ZERO, |as_of| as_of + freshness)
     }
 
-    /// Returns until when the own zone's leader vouches for keys whose home is the
-    /// zone. Zero while this instance lacks something that the leader had applied.
+    /// Returns the moment until which keys whose home is this zone count as verified
+    /// by its leader. Zero while this instance has not applied all log entries that
+    /// the leader had applied.
     pub fn zone_vouches_until(&self) -> Moment {
         if self.registry.applied < self.agent.zone_applied() {
             return Moment::ZERO;
@@ -279,23 +281,23 @@
         &self.replica
     }
 
-    /// Returns whether a link to `peer` is known.
+    /// Returns whether `peer` is connected.
     pub fn knows(&self, peer: InstanceId) -> bool {
         self.peers.contains_key(&peer)
     }
 
-    /// Returns the zone leadership as this instance sees it.
+    /// Returns this instance's state in the leader election of its zone.
     pub const fn participant(&self) -> &Participant {
         &self.participant
     }
 
-    /// Returns the zone leader's state, while this instance leads its zone.
+    /// Returns the zone's allocator while this instance leads the zone.
     pub const fn allocator(&self) -> Option<&Allocator> {
         self.allocator.as_ref()
     }
 
-    /// Takes an input and returns what is to be done once [`Control::take_ready`]
-    /// has been stored.
+    /// Handles an input. The returned effects must be performed only after the
+    /// result of [`Control::take_ready`] has been stored.
     pub fn step(&mut self, now: Moment, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now),
@@ -312,13 +314,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns what the replica wants stored, sent and applied.
+    /// Returns the replica's data to store, send and apply.
     pub fn take_ready(&mut self, now: Moment) -> Ready {
         self.replica.flush(now);
         self.replica.take_ready()
     }
 
-    /// Goes on after `ready` has been stored.
+    /// Sends and applies the contents of `ready` after it has been stored.
     pub fn stored(&mut self, now: Moment, ready: Ready) -> Vec<Effect> {
         self.replica.persisted(now);
         for raft in ready.messages {
@@ -345,7 +347,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Makes a snapshot if the log has grown long; yields it for storing.
+    /// Compacts the log if it has reached the size limits. Returns the snapshot to
+    /// store.
     pub fn compact(&mut self) -> Option<crate::core::consensus::Snapshot> {
         let log = self.replica.log();
         if log.bytes() < COMPACT_BYTES && log.len() < COMPACT_ENTRIES {
@@ -385,7 +388,8 @@
         }
     }
 
-    // The founders wait until all of them are seen blank; the first by name founds.
+    // The first founder by name founds the root group once all other founders are
+    // connected and none of them belongs to a group.
     fn found(&mut self, now: Moment) {
         if !self.replica.is_blank() || !self.me.durable {
             return;
@@ -429,7 +433,7 @@
                 .push(Effect::Event(Event::VotersChanged { voters }));
             return;
         }
-        // The first entry of a term changes nothing.
+        // A leader's first entry in its term has no command.
         if command.is_empty() {
             self.registry.applied = index;
             return;
@@ -474,7 +478,7 @@
         self.effects.push(Effect::Event(event));
     }
 
-    // Brings everything that mirrors the registry up to date.
+    // Updates all state that is derived from the registry.
     fn take_registry(&mut self, now: Moment, version_before: u64) {
         let version = self.registry.version;
         let mut gate = self.gate.lock().expect("gate lock");
@@ -504,7 +508,7 @@
         self.effects.push(Effect::Event(Event::Draining {}));
     }
 
-    /// Gives up zone leadership, at the end of a planned stop.
+    /// Gives up the zone leadership at the end of a planned stop.
     pub const fn resign(&mut self) {
         self.participant.resign();
     }
--- a/src/core/control/peers.rs
+++ b/src/core/control/peers.rs
@@ -1,4 +1,4 @@
-//! Links to other instances: pings, calls, freshness.
+//! Links to other instances: pings, calls and freshness.
 
 use std::collections::BTreeMap;
 
@@ -35,11 +35,12 @@
                 peer: known.peer.name,
             }));
         }
-        // Nobody will answer what was asked of it.
+        // Calls to this peer will not be answered.
         self.give_up_calls(now, |pending| pending.to == id);
     }
 
-    // After a pause of this process nobody was heard; that says nothing of the peers.
+    // During a pause of this process no messages were handled, so the silence of the
+    // peers does not mean that they are gone.
     pub(super) fn forgive_own_pause(&mut self, now: Moment) {
         if now.since(self.ticked_at) > OWN_PAUSE_MIN {
             for known in self.peers.values_mut() {
@@ -72,7 +73,7 @@
                 .partition(|(_, pending)| is_lost(pending));
         self.calls = kept;
         for pending in lost.into_values() {
-            let message = "no answer from the responsible instance";
+            let message = "the responsible instance was disconnected or did not answer in time";
             let err = Error::new(Kind::NoQuorum, message);
             self.answer(now, pending.origin, Answer::Failed(err));
         }
@@ -110,7 +111,7 @@
                     leaving: self.leaving,
                     fresh_age,
                     fresh_index: self.registry.applied,
-                    // Set by the driver, which keeps the event clock.
+                    // Set by the driver, which owns the event clock.
                     stamp_millis: 0,
                     stamp_count: 0,
                 };
@@ -154,7 +155,8 @@
             Body::Report(report) => self.take_report(now, from, &report),
             Body::Allotment(allotment) => self.take_allotment(now, from, &allotment),
             Body::Withdrawn(withdrawn) => self.take_withdrawn(withdrawn.keys),
-            // Only cells with one task plane have such a leader.
+            // Sent only in cells with a single task plane, which do not use this control
+            // state.
             Body::Leading(_) => {}
         }
     }
@@ -165,7 +167,9 @@
         };
         known.ping_received = ping.sent_at;
         known.ping_received_at = now;
-        // The statement was made no earlier than `held` after our echoed ping left.
+        // The peer sent this ping at least `held` after the echoed ping was sent, and
+        // its state was `age` old by then. The result is on this instance's clock and
+        // never later than the actual moment.
         if let (Some(age), true) = (ping.fresh_age, ping.echo > 0) {
             let stated_at = ping.echo.saturating_add(ping.held);
             let as_of = Moment(stated_at.saturating_sub(age));
@@ -193,7 +197,7 @@
         self.effects.push(Effect::Publish);
     }
 
-    // A withdrawal that was heard of is proposed until the registry holds it.
+    // Proposes each known revocation of a key until it is in the registry.
     pub(super) fn repeat_withdrawals(&mut self, now: Moment) {
         if now < self.withdraw_at {
             return;
@@ -225,7 +229,7 @@
     }
 
     pub(super) fn send_raft(&mut self, now: Moment, raft: Raft) {
-        // An observer that knows no leader asks everybody.
+        // Receiver 0: an observer that knows no leader asks all peers.
         if raft.to == 0 {
             for id in self.peer_ids() {
                 self.send(id, Body::Raft(raft.clone()));
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -1,4 +1,4 @@
-//! Questions between instances and to this one, and who answers them.
+//! Queries of other instances and of this process, and their routing.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
 use crate::core::time::Moment;
 use crate::error::{Error, Kind};
 
-/// Who is to answer a question.
+/// Instance that should answer a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// This instance.
@@ -22,144 +22,144 @@
     Root,
     /// The leader of a zone.
     Zone(String),
-    /// A given instance.
+    /// The instance with this ID.
     Instance(InstanceId),
 }
 
-/// A question.
+/// A query to an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Query {
-    /// Put a command into the log.
+    /// Append a command to the replicated log.
     Propose(Command),
-    /// Take an upstream's heartbeat.
+    /// Handle an upstream's heartbeat.
     Announce(Heartbeat),
-    /// Take a zone's demand for team units.
+    /// Handle a zone's report of its demand for units of team limits.
     Wants(super::root::ZoneWants),
-    /// Return units of teams from the zone to the pool.
+    /// Return units of team limits from the zone to the pool.
     Return(Vec<(String, u64)>),
-    /// Tell whether the zone leader has applied the log up to this position.
+    /// Confirm that the zone leader has applied the log up to this index.
     Applied(u64),
-    /// Tell how the instance stands.
+    /// Return the status of the instance.
     Status,
-    /// Return the accepted pushes.
+    /// Return the accepted configuration pushes.
     History,
-    /// Claim a request id whose home is the zone.
+    /// Claim a request ID at its home zone.
     Claim(claim::Attempt),
-    /// Tell the home of a claim how the run ended.
+    /// Report the outcome of a claimed run to its home zone.
     Settle(claim::Settlement),
-    /// Keep copies of claims of a zone.
+    /// Store copies of a zone's claims.
     Copy(claim::Batch),
-    /// Return all copies of claims of a zone.
+    /// Return all stored copies of a zone's claims.
     Fetch(String),
-    /// Take a worker's poll.
+    /// Handle a worker's poll.
     Poll(Box<fleet::Poll>),
-    /// Tell whether a job of this kind can run in the zone.
+    /// Return whether a job with this spec can run in the zone.
     Admit(Box<Spec>),
-    /// Return a job and where its tasks stand.
+    /// Return a job with its state.
     Job(job::Id),
-    /// List the jobs of a team, or all.
+    /// List the jobs of a team, or of all teams.
     Jobs(Option<String>),
     /// Explain why a job's tasks wait.
     Explain(job::Id),
-    /// Name a new leader for a zone whose roster is silent.
+    /// Appoint a new leader for a zone whose roster does not respond.
     Replace(String),
 }
 
-/// Answer to a question.
+/// Answer to a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done.
+    /// The query was carried out.
     Done,
-    /// The heartbeat was taken.
+    /// The heartbeat was accepted.
     Heard(Seen),
-    /// What applying the command gave.
+    /// Outcome of the applied command.
     Outcome(Outcome),
-    /// Units of teams that the zone should return.
+    /// Units of team limits that the zone should return.
     Recalls(Vec<(String, u64)>),
-    /// How the instance stands.
+    /// Status of the instance.
     Status(Box<Status>),
-    /// Accepted pushes, oldest first.
+    /// Accepted configuration pushes, oldest first.
     History(Vec<Push>),
-    /// What became of a claim.
+    /// Result of an attempt to claim a request ID.
     Verdict(claim::Verdict),
-    /// Copies of claims.
+    /// Stored copies of claims.
     Copies(claim::Batch),
-    /// Orders to a worker.
+    /// Orders for a worker.
     Orders(Box<fleet::Orders>),
-    /// Whether a job can run in the zone: why not, or how much is free.
+    /// Whether a job can run in the zone, and how much of the zone is free.
     Admission {
-        /// Why it can never run there.
+        /// Reason why the job can never run there, if any.
         misfit: Option<String>,
-        /// Free part of the zone, in thousandths.
+        /// Free fraction of the zone's dominant resource, in thousandths.
         free_milli: u64,
     },
-    /// A job.
+    /// The requested job.
     Job(Box<Job>),
     /// Jobs, newest first.
     Jobs(Vec<JobLine>),
-    /// Why a job's tasks wait.
+    /// Reasons why a job's tasks wait.
     Explanation(fleet::Explanation),
-    /// It failed.
+    /// The query failed.
     Failed(Error),
 }
 
-/// A peer as another instance sees it.
+/// A connected peer of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the peer.
     pub name: String,
     /// Availability zone.
     pub zone: String,
 }
 
-/// How one instance stands.
+/// Status of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
     /// Version of the configuration in force.
     pub version: u64,
-    /// Position in the log.
+    /// Index of the last applied log entry.
     pub applied: u64,
-    /// Age of its knowledge of the root group's state, in milliseconds.
+    /// Age of the known root group state in milliseconds, if any is known.
     pub fresh_ms: Option<u64>,
-    /// Root leader's name, if known.
+    /// Name of the root leader, if known.
     pub root_leader: Option<String>,
-    /// Voters of the root group.
+    /// Names of the voters of the root group.
     pub voters: Vec<String>,
     /// Term of the root group.
     pub root_term: u64,
-    /// Whether it may act as leader of its zone.
+    /// Whether the instance may act as leader of its zone.
     pub leads_zone: bool,
-    /// Term of its zone's leadership.
+    /// Term of the zone's leadership.
     pub zone_term: u64,
-    /// Peers that it hears.
+    /// Connected peers.
     pub peers: Vec<PeerStatus>,
-    /// Figures of teams at its gate.
+    /// Admission statistics of the teams at this instance.
     pub teams: Vec<TeamStat>,
-    /// Workers of its zone, if it leads it.
+    /// Workers of the zone, if the instance leads it.
     pub workers: Vec<fleet::WorkerStat>,
-    /// Upstreams of its zone, if it leads it: name, slots, slots allotted.
+    /// Upstreams of the zone, if the instance leads it.
     pub upstreams: Vec<UpstreamStat>,
 }
 
-/// An upstream as its zone leader sees it.
+/// An upstream and its allotted slots at the zone leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamStat {
-    /// Name.
+    /// Name of the upstream.
     pub name: String,
-    /// Slots.
+    /// Number of slots that it offers.
     pub slots: u64,
-    /// Slots allotted to entry instances.
+    /// Number of slots allotted to entry instances.
     pub allotted: u64,
-    /// Whether it gets nothing new.
+    /// Whether the upstream is draining and gets no new requests.
     pub leaving: bool,
 }
 
@@ -167,7 +167,8 @@
     pub(super) fn ask(&mut self, now: Moment, call: u64, target: &Target, query: Query) {
         let origin = Origin::Local(call);
         if let Query::Propose(Command::WithdrawKey { id }) = &query {
-            // The withdrawal spreads at once by every path.
+            // The revocation takes effect here and is sent to all peers before it is
+            // committed.
             self.take_withdrawn(vec![id.clone()]);
         }
         self.route(now, origin, target, query);
--- a/src/core/control/root.rs
+++ b/src/core/control/root.rs
@@ -1,5 +1,5 @@
-//! Duties of the root leader: naming zone leaders, dividing team limits among
-//! zones, replacing lost voters.
+//! Responsibilities of the root leader: appointing zone leaders, dividing team limits among
+//! zones and replacing lost voters.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,36 +15,37 @@
 use crate::event::Event;
 use crate::wire::{Body, LeaseReply, LeaseRequest, Voter};
 
-/// Origin of proposals that nobody waits for.
+/// Origin of calls and proposals whose answer is discarded.
 pub const NOBODY: Origin = Origin::Local(u64::MAX);
-/// A zone's wants count for this long; it repeats them all well within.
+/// Age at which a zone's reported demand expires. A zone repeats its complete
+/// demand every 4 s, so single lost reports do not expire it.
 const WANTS_AGE_MAX: Duration = Duration::from_secs(12);
-/// A spare may lag by this many entries when it becomes a voter.
+/// Maximum lag in log entries at which a spare may become a voter.
 const CAUGHT_UP_LAG: u64 = 64;
 
 /// Demand of one team in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Want {
-    /// Team.
+    /// Name of the team.
     pub team: String,
-    /// Units that it could use now.
+    /// Units that the team could use now.
     pub demand: u64,
-    /// Units returned in all.
+    /// Counter of units that the zone has returned.
     pub returned: u64,
 }
 
 /// Demands of all teams in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneWants {
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Term of its leadership.
+    /// Term of the zone's leadership.
     pub term: u64,
-    /// Teams whose demand changed, and from time to time all.
+    /// Teams whose demand has changed, or periodically all teams.
     pub wants: Vec<Want>,
 }
 
-/// Demand of a team in a zone as the root leader keeps it.
+/// Latest demand of a team in a zone that was reported to the root leader.
 #[derive(Clone, Copy, Debug)]
 pub struct Demanded {
     units: u64,
@@ -83,7 +84,8 @@
         }
     }
 
-    // One change at a time: first a caught-up spare joins, then the lost voter goes.
+    // Membership changes by one voter at a time: a caught-up spare is added before
+    // the lost voter is removed.
     fn replace_voters(&mut self, now: Moment) {
         let voters = self.replica.voters().to_vec();
         let wanted = self.me.founders.len().max(1);
@@ -124,7 +126,8 @@
             next.push(Voter { replica, name });
             next
         };
-        // Refused while another change is under way; the next tick tries again.
+        // Refused while another membership change is in progress; retried on the next
+        // tick.
         let _ = self.replica.propose_voters(next);
     }
 
@@ -244,7 +247,8 @@
             .collect()
     }
 
-    /// Names a new leader for a zone at an operator's word, whatever its roster.
+    /// Appoints a new leader for a zone on an operator's request, regardless of the
+    /// current roster.
     pub(super) fn replace_zone(&mut self, now: Moment, origin: Origin, zone: &str) {
         let Some(led) = self.registry.zones.get(zone).cloned() else {
             let err = Error::new(Kind::NotFound, format!("no zone {zone}"));
@@ -263,7 +267,10 @@
         };
         let since = self.replica.leader_since().unwrap_or(now);
         if !self.replica.is_leased(now) || now < since + with_clock_margin(TERM) {
-            let err = Error::new(Kind::NoQuorum, "the root leader is new; try again");
+            let err = Error::new(
+                Kind::NoQuorum,
+                "the root leader has not established its lease; try again",
+            );
             self.answer(now, origin, Answer::Failed(err));
             return;
         }
@@ -277,10 +284,14 @@
         self.propose(now, origin, &command, Some(zone.to_owned()));
     }
 
-    /// Takes a zone's demand; gives units and answers with what to return.
+    /// Records a zone's demand, proposes transfers of units to the zone and answers
+    /// with the units that it should return.
     pub(super) fn take_wants(&mut self, now: Moment, wants: &ZoneWants) -> Answer {
         if !self.replica.is_leased(now) {
-            return Answer::Failed(Error::new(Kind::NoQuorum, "not the root leader"));
+            return Answer::Failed(Error::new(
+                Kind::NoQuorum,
+                "this instance is not the root leader",
+            ));
         }
         let mut transfers = Vec::new();
         let mut recalls = Vec::new();
@@ -330,7 +341,8 @@
             .given
             .saturating_sub(account.returned.max(want.returned));
         let mut give = goal.saturating_sub(has).min(issuer.free());
-        // Small corrections are not worth an entry in the log.
+        // Without unmet demand, transfers below an eighth of the target are skipped
+        // to save log entries.
         let pressing = want.demand > has;
         if !pressing && give * 8 < goal {
             give = 0;
@@ -357,7 +369,7 @@
         }
     }
 
-    // What other zones hold above their targets while this one lacks units.
+    // Units that other zones hold above their targets while this zone lacks units.
     fn surplus_elsewhere(&self, now: Moment, wants: &ZoneWants, want: &Want) -> Vec<(String, u64)> {
         let zones = &self.registry.zone_names;
         let (Some(issuer), Some(at)) = (
--- a/src/core/control/tasks.rs
+++ b/src/core/control/tasks.rs
@@ -1,4 +1,5 @@
-//! The task plane at the zone leader: jobs in, orders to workers out.
+//! Task scheduling at the zone leader: passes jobs to the scheduler and its orders
+//! to the workers.
 
 use std::time::Duration;
 
@@ -13,30 +14,30 @@
 use crate::error::{Error, Kind};
 use crate::event::Event;
 
-/// Interval at which ends are proposed until the registry holds them.
+/// Interval at which ended tasks are proposed until they are in the registry.
 const ENDS_EVERY: Duration = Duration::from_secs(1);
-/// Ends in one command.
+/// Maximum number of ended tasks in one command.
 const ENDS_MAX: usize = 2_000;
-/// Jobs in one list.
+/// Maximum number of jobs in one list.
 const LIST_MAX: usize = 1_000;
 
-/// A job in a list.
+/// Summary of a job in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobLine {
-    /// Job.
+    /// ID of the job.
     pub id: Id,
-    /// Team.
+    /// Team that submitted the job.
     pub team: String,
-    /// Name.
+    /// Name of the job.
     pub name: String,
-    /// Zone.
+    /// Zone that places the job.
     pub zone: String,
-    /// Where it stands.
+    /// State of the job.
     pub state: State,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Tasks that ended well.
+    /// Number of tasks that ended successfully.
     pub ended: u32,
 }
 
@@ -55,7 +56,7 @@
         self.answer_polls(now);
     }
 
-    /// Brings the task plane up to date with the registry's jobs.
+    /// Updates the scheduler from the registry's jobs.
     fn sync_jobs(&mut self, now: Moment) {
         let changes = self.registry.jobs.changes();
         let Some(fleet) = &mut self.fleet else {
@@ -132,11 +133,11 @@
     }
 
     pub(super) fn take_poll(&mut self, now: Moment, origin: Origin, poll: &Poll) {
-        // A new leader's task plane must know the jobs before it takes a report: an end
-        // of a task that it does not know is acknowledged and forgotten.
+        // A new leader's scheduler must know the jobs before it handles a poll: the end of
+        // an unknown task is acknowledged without being recorded, and would be lost.
         self.sync_jobs(now);
         let refused = if !self.participant.may_act(now) || poll.zone != self.me.zone {
-            let message = "this instance does not lead the worker's zone now";
+            let message = "this instance is not the leader of the worker's zone";
             Some(Error::new(Kind::NoQuorum, message))
         } else {
             match &mut self.fleet {
@@ -153,10 +154,13 @@
         let to = self.me.id;
         let pending = Pending { to, origin, until };
         if let Some(old) = self.polls.insert(poll.name.clone(), pending) {
-            let err = Error::new(Kind::BadAnnouncement, "the worker has polled again");
+            let err = Error::new(
+                Kind::BadAnnouncement,
+                "superseded by a newer poll of the same worker",
+            );
             self.answer(now, old.origin, Answer::Failed(err));
         }
-        // Ends and freed room are acted on at once.
+        // Records ended tasks and reuses freed resources without waiting for the tick.
         self.tick_tasks(now);
         self.answer_poll(now, &poll.name);
     }
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Answers all waiting polls at once, before a planned stop.
+    /// Answers all waiting polls immediately before a planned stop.
     pub(super) fn release_polls(&mut self, now: Moment) {
         for pending in self.polls.values_mut() {
             pending.until = now;
@@ -192,7 +196,8 @@
         self.answer_polls(now);
     }
 
-    /// Ends the task plane when another instance leads the zone.
+    /// Drops the scheduler and fails waiting polls when another instance leads the
+    /// zone.
     pub(super) fn close_fleet(&mut self, now: Moment) {
         self.fleet = None;
         self.ends.clear();
--- a/src/core/control/zone.rs
+++ b/src/core/control/zone.rs
@@ -1,4 +1,4 @@
-//! Duties of the zone leader and of the members of its roster.
+//! Responsibilities of a zone's leader and of the members of its roster.
 
 use std::time::Duration;
 
@@ -14,13 +14,14 @@
 use crate::event::Event;
 use crate::wire::{Allotment, Body, LeaseReply, LeaseRequest, Report};
 
-/// Interval of a zone's reports to the root leader.
+/// Interval of a zone's demand reports to the root leader.
 const WANTS_EVERY: Duration = Duration::from_millis(500);
-/// Interval of those reports while a team lacks units.
+/// Interval of demand reports while a team lacks units.
 const WANTS_PRESSING_EVERY: Duration = Duration::from_millis(100);
-/// Interval at which a zone reports all its teams.
+/// Interval at which a zone reports the demand of all teams.
 const WANTS_ALL_EVERY: Duration = Duration::from_secs(4);
-/// Age of the root group's word up to which it counts as heard.
+/// Maximum age of the known root group state at which the root group counts as
+/// reachable.
 const ROOT_HEARD_MAX: Duration = Duration::from_millis(2_000);
 
 fn want_of(demand: &UnitDemand) -> Want {
@@ -249,7 +250,7 @@
 
     pub(super) fn announce(&mut self, now: Moment, beat: &Heartbeat) -> Answer {
         if !self.participant.may_act(now) {
-            let message = "this instance does not lead its zone now";
+            let message = "this instance is not the leader of its zone";
             return Answer::Failed(Error::new(Kind::NoQuorum, message));
         }
         let Some(allocator) = &mut self.allocator else {
--- a/src/core/escrow.rs
+++ b/src/core/escrow.rs
@@ -1,21 +1,21 @@
-//! Division of a capacity among holders that may be out of reach.
+//! Division of a capacity among holders that may be unreachable.
 //!
-//! Each pair of cell and holder has two counters that only rise: what the
-//! issuer has given, written by the issuer, and what the holder has returned,
-//! written by the holder. Messages carry the counters themselves, so that loss,
-//! repetition and reordering are harmless: each side keeps the largest value
-//! seen, and the issuer's view of a holding is never below the truth.
+//! Each pair of a resource and a holder has two monotonic counters: units given,
+//! written by the issuer, and units returned, written by the holder. Messages
+//! carry the counter values rather than differences, and each side keeps the
+//! largest value seen. Lost, repeated and reordered messages are therefore
+//! harmless, and the issuer never underestimates what a holder may use.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Names a divided capacity: an upstream's slots or a team's limit.
+/// Identifies a divided capacity: the slots of an upstream or the limit of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Cell(pub u64);
 
-/// Both counters of one holding.
+/// The two counters of one holder of a resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
@@ -31,14 +31,14 @@
         self.given.saturating_sub(self.returned)
     }
 
-    /// Takes the larger value of each counter.
+    /// Merges `other` by taking the larger value of each counter.
     pub fn merge(&mut self, other: Self) {
         self.given = self.given.max(other.given);
         self.returned = self.returned.max(other.returned);
     }
 }
 
-/// The issuer's side of one cell.
+/// The issuer's side of one resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Issuer<H: Ord + Copy> {
@@ -47,7 +47,7 @@
 }
 
 impl<H: Ord + Copy> Issuer<H> {
-    /// Makes an issuer of `capacity` units with none given.
+    /// Creates an issuer of `capacity` units, none of them given.
     pub const fn new(capacity: u64) -> Self {
         Self {
             capacity,
@@ -55,28 +55,28 @@
         }
     }
 
-    /// Returns the capacity in force.
+    /// Returns the current capacity.
     pub const fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    /// Changes the capacity. Below what is given, nothing more is given until
-    /// the excess has been returned.
+    /// Changes the capacity. If more units are outstanding than the new capacity,
+    /// nothing is given until the excess has been returned.
     pub const fn set_capacity(&mut self, capacity: u64) {
         self.capacity = capacity;
     }
 
-    /// Returns the units that holders may be using.
+    /// Returns the number of units that holders may be using.
     pub fn outstanding(&self) -> u64 {
         self.accounts.values().map(|a| a.balance()).sum()
     }
 
-    /// Returns the units that can be given now.
+    /// Returns the number of units that can be given now.
     pub fn free(&self) -> u64 {
         self.capacity.saturating_sub(self.outstanding())
     }
 
-    /// Returns the units above capacity that holders must return.
+    /// Returns the number of outstanding units above the capacity.
     pub fn excess(&self) -> u64 {
         self.outstanding().saturating_sub(self.capacity)
     }
@@ -93,7 +93,8 @@
             .map(|(&holder, &account)| (holder, account))
     }
 
-    /// Gives up to `units` to `holder` and returns how many were given.
+    /// Gives up to `units` to `holder`, limited by the free capacity, and returns
+    /// the number given.
     pub fn give(&mut self, holder: H, units: u64) -> u64 {
         let given = units.min(self.free());
         if given > 0 {
@@ -102,15 +103,15 @@
         given
     }
 
-    /// Records the returned counter that `holder` reports.
+    /// Records the counter of returned units that `holder` reports.
     pub fn settle(&mut self, holder: H, returned: u64) {
         if let Some(account) = self.accounts.get_mut(&holder) {
             account.returned = account.returned.max(returned).min(account.given);
         }
     }
 
-    /// Opens an account anew with `units` already held, as reported by a holder
-    /// that outlived the issuer. May exceed the capacity.
+    /// Opens an account with `units` already held, as reported by a holder that
+    /// outlived the previous issuer. The total may then exceed the capacity.
     pub fn adopt(&mut self, holder: H, units: u64) {
         let account = Account {
             given: units,
@@ -119,13 +120,13 @@
         self.accounts.insert(holder, account);
     }
 
-    /// Closes the account of a holder whose units have surely ended.
+    /// Removes the account of a holder that can no longer use its units.
     pub fn forget(&mut self, holder: H) {
         self.accounts.remove(&holder);
     }
 }
 
-/// The holder's side of one cell.
+/// The holder's side of one resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holding {
     account: Account,
@@ -133,7 +134,7 @@
 }
 
 impl Holding {
-    /// Makes a newly opened holding of `units`, of which `in_use` are in use.
+    /// Creates a holding of `units`, of which `in_use` are in use.
     pub const fn opened_with(units: u64, in_use: u64) -> Self {
         let account = Account {
             given: units,
@@ -142,27 +143,27 @@
         Self { account, in_use }
     }
 
-    /// Makes a holding with nothing in use that goes on from earlier counters.
+    /// Creates a holding that continues from earlier counters, with no unit in use.
     pub const fn resumed(account: Account) -> Self {
         Self { account, in_use: 0 }
     }
 
-    /// Records the given counter that the issuer reports.
+    /// Records the counter of given units that the issuer reports.
     pub fn receive(&mut self, given: u64) {
         self.account.given = self.account.given.max(given);
     }
 
-    /// Returns the units that may be used.
+    /// Returns the number of units that may be used.
     pub const fn allowed(&self) -> u64 {
         self.account.balance()
     }
 
-    /// Returns the units in use.
+    /// Returns the number of units in use.
     pub const fn in_use(&self) -> u64 {
         self.in_use
     }
 
-    /// Returns the units that are allowed and not in use.
+    /// Returns the number of allowed units that are not in use.
     pub const fn idle(&self) -> u64 {
         self.allowed().saturating_sub(self.in_use)
     }
@@ -172,7 +173,7 @@
         self.account
     }
 
-    /// Takes one idle unit into use; false if there is none.
+    /// Starts the use of one idle unit. Returns false if there is none.
     pub const fn take(&mut self) -> bool {
         if self.idle() == 0 {
             return false;
@@ -186,7 +187,7 @@
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Returns up to `units` idle units to the issuer; yields how many.
+    /// Returns up to `units` idle units to the issuer and yields the number returned.
     pub fn give_back(&mut self, units: u64) -> u64 {
         let returned = units.min(self.idle());
         self.account.returned += returned;
--- a/src/core/freshness.rs
+++ b/src/core/freshness.rs
@@ -1,13 +1,13 @@
-//! How recent this instance's knowledge of the root group's state is.
+//! Age of the root group state that this instance has applied.
 
 use std::time::Duration;
 
 use crate::core::time::Moment;
 
-/// Statements that wait for the log to catch up.
+/// Maximum number of statements that wait until the log has been applied.
 const PENDING_MAX: usize = 32;
 
-/// Tracks the latest moment at which this instance surely knew all commits.
+/// Tracks the latest moment for which all commits are known to be applied here.
 #[derive(Debug, Default)]
 pub struct Tracker {
     as_of: Option<Moment>,
@@ -15,7 +15,7 @@
 }
 
 impl Tracker {
-    /// Records a statement: at `as_of` nothing after `index` was committed.
+    /// Records the statement that nothing after `index` was committed at `as_of`.
     pub fn hear(&mut self, as_of: Moment, index: u64, applied: u64) {
         if index <= applied {
             self.as_of = self.as_of.max(Some(as_of));
@@ -27,7 +27,7 @@
         self.pending.push((as_of, index));
     }
 
-    /// Records that the log has been applied up to `applied`.
+    /// Records that the log has been applied up to index `applied`.
     pub fn apply(&mut self, applied: u64) {
         let ready = self.pending.iter().filter(|(_, index)| *index <= applied);
         let newest = ready.map(|&(as_of, _)| as_of).max();
@@ -35,12 +35,12 @@
         self.pending.retain(|(_, index)| *index > applied);
     }
 
-    /// Returns the moment up to which all commits are known.
+    /// Returns the moment up to which all commits are applied, if known.
     pub const fn as_of(&self) -> Option<Moment> {
         self.as_of
     }
 
-    /// Returns the age of the knowledge, or `None` if there is none yet.
+    /// Returns the time since that moment, or `None` if it is not known yet.
     pub fn age(&self, now: Moment) -> Option<Duration> {
         self.as_of.map(|as_of| now.since(as_of))
     }
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks as the root group registers them.
+//! Jobs and their tasks in the replicated state of the root group.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use crate::core::registry::Outcome;
 use crate::error::{Error, Kind};
 
-/// Ended jobs that stay readable.
+/// Maximum number of ended jobs that are kept.
 const ENDED_MAX: usize = 5_000;
-/// Most tasks in one job.
+/// Maximum number of tasks in one job.
 pub const TASKS_MAX: u32 = 20_000;
 
-/// Names a job.
+/// Identifies a job.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,36 +22,36 @@
 #[display("{_0}")]
 pub struct Id(pub u64);
 
-/// Names a task of a job.
+/// Identifies a task of a job.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 #[display("{job}/{index}")]
 pub struct Task {
-    /// Job that it belongs to.
+    /// Job that the task belongs to.
     pub job: Id,
-    /// Position in the job, from 0.
+    /// Index of the task in its job, from 0.
     pub index: u32,
 }
 
-/// Amounts of what a worker offers and a task needs.
+/// Amounts of the resources that a worker offers or a task needs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Thousandths of a processor.
+    /// Processor time in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u64,
 }
 
 impl Size {
-    /// Returns whether `need` fits into this size.
+    /// Returns whether `need` fits into this size in every dimension.
     pub const fn fits(self, need: Self) -> bool {
         need.cpu_milli <= self.cpu_milli
             && need.memory_mb <= self.memory_mb
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns what is left after `other` is taken away, at least zero.
+    /// Returns the difference of both sizes, at least zero in each dimension.
     pub const fn minus(self, other: Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns the larger amount of each dimension.
+    /// Returns the larger amount in each dimension.
     pub fn max(self, other: Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Returns the largest fraction that this size takes of `total`.
+    /// Returns the dominant share: the largest fraction of `total` that this size
+    /// takes in any dimension.
     pub fn dominant_of(self, total: Self) -> f64 {
         let part = |need: u64, all: u64| {
             if all == 0 {
@@ -100,60 +101,62 @@
     }
 }
 
-/// What kind of work a job is.
+/// Kind of work that a job does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
     /// Runs until cancelled.
     Service,
-    /// Tasks run and end independently.
+    /// Its tasks run and end independently.
     Batch,
-    /// All tasks start together or none does.
+    /// Its tasks start all together or not at all (gang scheduling).
     AllAtOnce,
 }
 
-/// What happens to a task whose worker cannot be reached.
+/// Handling of a task whose worker is unreachable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unreachable {
-    /// It is placed anew once its lease has surely run out.
+    /// The task is placed on another worker once its lease has expired even on the
+    /// slowest clock allowed.
     #[default]
     Replace,
-    /// It waits for its worker.
+    /// The task waits until its worker can be reached again.
     Keep,
 }
 
-/// What a caller asks for.
+/// Job specification submitted by a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// Name for people; sizes are corrected by team and name.
+    /// Display name. Declared sizes are corrected by the usage measured for the same
+    /// team and name.
     pub name: String,
-    /// Kind of work.
+    /// Kind of work that the job does.
     pub class: Class,
-    /// Number of tasks.
+    /// Number of tasks in the job.
     pub tasks: u32,
     /// Declared size of one task.
     pub size: Size,
-    /// Queue; its settings decide the placement policy.
+    /// Name of the queue, whose settings determine the placement policy.
     #[serde(default)]
     pub queue: String,
     /// Estimated run time of one task, in milliseconds.
     #[serde(default)]
     pub run_ms: u64,
-    /// Whether it may checkpoint lower work.
+    /// Whether the job may preempt work of lower priority by checkpointing it.
     #[serde(default)]
     pub urgent: bool,
-    /// Deadline after submission, in milliseconds; zero for none.
+    /// Deadline in milliseconds after submission, or 0 for none.
     #[serde(default)]
     pub deadline_ms: u64,
-    /// Worth if it ends by its deadline.
+    /// Value of completing the job by its deadline.
     #[serde(default)]
     pub worth: u64,
     /// Whether a task may run again after a failure.
     #[serde(default = "yes")]
     pub rerun: bool,
-    /// What happens to unreachable tasks.
+    /// Handling of tasks whose workers are unreachable.
     #[serde(default)]
     pub unreachable: Unreachable,
 }
@@ -162,20 +165,20 @@
     true
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Its tasks wait or run.
+    /// Tasks of the job wait or run.
     #[display("open")]
     Open,
-    /// All its tasks ended well.
+    /// All tasks ended successfully.
     #[display("done")]
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     #[display("cancelled")]
     Cancelled,
-    /// It failed, for the given reason.
+    /// The job failed, for the given reason.
     #[display("failed: {_0}")]
     Failed(String),
 }
@@ -184,37 +187,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
-    /// Identity; assigned when it is registered.
+    /// ID, assigned at registration.
     pub id: Id,
-    /// Team whose key came with it.
+    /// Team whose key authenticated the submission.
     pub team: String,
-    /// Caller's idempotency key, or empty.
+    /// Idempotency key of the submission, or empty.
     pub request: String,
-    /// What was asked for.
+    /// Specification as submitted.
     pub spec: Spec,
-    /// Zone that places it.
+    /// Zone that places the tasks.
     pub zone: String,
-    /// Where it stands.
+    /// State of the job.
     pub state: State,
-    /// Bitmap of tasks that ended well.
+    /// Bitmap of tasks that ended successfully, by index.
     pub ended: Vec<u64>,
-    /// Failed runs of its tasks that count against it.
+    /// Number of failed task runs that count against the job.
     pub failures: u32,
 }
 
 impl Job {
-    /// Returns whether the task at `index` ended well.
+    /// Returns whether the task at `index` ended successfully.
     pub fn has_ended(&self, index: u32) -> bool {
         let word = self.ended.get(index as usize / 64).copied().unwrap_or(0);
         word >> (index % 64) & 1 == 1
     }
 
-    /// Returns how many tasks ended well.
+    /// Returns the number of tasks that ended successfully.
     pub fn ended_count(&self) -> u32 {
         self.ended.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// Returns the indices of tasks that have not ended.
+    /// Returns the tasks that have not ended successfully.
     pub fn open_tasks(&self) -> impl Iterator<Item = Task> {
         let job = self.id;
         (0..self.spec.tasks)
@@ -231,15 +234,16 @@
     }
 }
 
-/// How a task ended.
+/// Outcome of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ended {
-    /// Task.
+    /// Task that ended.
     pub task: Task,
-    /// Whether it ended well; otherwise its job fails if it may not run again.
+    /// Whether the task ended successfully.
     pub ok: bool,
-    /// Reason that fails the whole job, if any.
+    /// Reason why the whole job fails, if it does, for example because a failed task
+    /// may not run again.
     pub fatal: Option<String>,
 }
 
@@ -255,12 +259,12 @@
 }
 
 impl Table {
-    /// Returns a job.
+    /// Returns the job with this ID.
     pub fn get(&self, id: Id) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// Returns a number that rises with every change.
+    /// Returns a counter that increases with every change.
     pub const fn changes(&self) -> u64 {
         self.changes
     }
@@ -275,14 +279,15 @@
         self.jobs.values().filter(|job| job.state == State::Open)
     }
 
-    /// Registers a job, or finds the earlier submission of the same request.
+    /// Registers a job, or returns the earlier submission with the same idempotency
+    /// key. Fails if that one had a different specification.
     pub fn submit(&mut self, job: &Job) -> Outcome {
         let request = (job.team.clone(), job.request.clone());
         if !job.request.is_empty()
             && let Some(&id) = self.requests.get(&request)
         {
             if self.jobs.get(&id).is_some_and(|old| old.spec != job.spec) {
-                let message = "this id was used for another job";
+                let message = "this request id was already used for a different job";
                 return Outcome::Refused(Error::new(Kind::IdReused, message));
             }
             return Outcome::Submitted(id);
@@ -304,7 +309,7 @@
         Outcome::Submitted(id)
     }
 
-    /// Cancels a job of `team`, or of any team for an operator.
+    /// Cancels a job of `team`, or of any team if `team` is `None` (an operator).
     pub fn cancel(&mut self, id: Id, team: Option<&str>) -> Outcome {
         let job = self.jobs.get_mut(&id);
         let Some(job) = job.filter(|job| team.is_none_or(|team| team == job.team)) else {
@@ -318,7 +323,8 @@
         Outcome::Done
     }
 
-    /// Records ended tasks; unknown and repeated ones change nothing.
+    /// Records ended tasks. Tasks of unknown or ended jobs are ignored, and repeated
+    /// successes have no further effect.
     pub fn end(&mut self, ended: &[Ended]) {
         self.changes += 1;
         for end in ended {
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -1,10 +1,10 @@
-//! Leadership of an availability zone: leases, promises and candidacy.
+//! Leader election for an availability zone: leases, promises and candidacy.
 //!
-//! The leader named by the root group may act while it holds an unexpired lease
-//! of the root group, or unexpired promises of all other members of its roster.
-//! A member asks to be named only after its own promise has lapsed, and gives
-//! none afterwards in that term, so the two sets that could authorise two
-//! leaders always intersect.
+//! The root group appoints the leader of each zone. The leader may act while it
+//! holds an unexpired lease from the root group or unexpired promises from all
+//! other members of its roster. A member becomes a candidate only after its own
+//! promise has expired and makes no further promise in that term. The two sets of
+//! instances that could authorise two leaders at once therefore always intersect.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,43 +12,43 @@
 use crate::core::registry::{InstanceId, Leadership, Member};
 use crate::core::time::{Moment, with_clock_margin};
 
-/// Term of a lease or promise on the holder's clock.
+/// Duration of a lease or promise, measured on the holder's clock.
 pub const TERM: Duration = Duration::from_millis(1_200);
-/// Interval at which a leader renews.
+/// Interval at which a leader renews its lease and the promises of its roster.
 pub const RENEW_EVERY: Duration = Duration::from_millis(300);
-/// A leader without authority for this long is challenged by members that reach
-/// the root group.
+/// Time without authority after which members that reach the root group stop
+/// making promises to a leader, so that one of them can become a candidate.
 const UNLED_MAX: Duration = Duration::from_secs(3);
-/// A silent member is taken off the roster after this long.
+/// Silence after which the leader removes a member from its roster.
 const ROSTER_SILENCE_MAX: Duration = Duration::from_secs(10);
 
-/// What this instance should send.
+/// Request that this instance should send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the root group for the lease of this term.
+    /// Renew the lease from the root group.
     Renew {
-        /// Term.
+        /// Term to renew.
         term: u64,
-        /// Roster wanted, empty to keep it.
+        /// Proposed roster, or empty to keep the current one.
         roster: Vec<InstanceId>,
     },
     /// Ask a member for its promise.
     Ask {
-        /// Member.
+        /// Member to ask.
         member: InstanceId,
-        /// Term.
+        /// Term of the sender's leadership.
         term: u64,
         /// Whether the sender holds authority now.
         has_authority: bool,
     },
-    /// Ask the root group to be named leader.
+    /// Ask the root group for appointment as leader.
     Campaign {
-        /// Last term seen.
+        /// Latest term that the candidate knows.
         term: u64,
     },
 }
 
-/// One instance's part in the leadership of its zone.
+/// State of one instance in the leader election of its zone.
 #[derive(Debug)]
 pub struct Participant {
     me: Member,
@@ -67,8 +67,8 @@
 }
 
 impl Participant {
-    /// Makes the participant for an instance that starts at `now` with no memory of
-    /// earlier promises.
+    /// Creates the state of an instance that starts at `now`. Promises made before
+    /// a restart are not stored.
     pub const fn new(me: Member, now: Moment) -> Self {
         Self {
             me,
@@ -87,24 +87,24 @@
         }
     }
 
-    /// Returns the leadership in force as far as known.
+    /// Returns the latest leadership known to this instance.
     pub const fn led(&self) -> Option<&Leadership> {
         self.led.as_ref()
     }
 
-    /// Returns the current term, 0 before the first.
+    /// Returns the current term, or 0 before the first.
     pub fn term(&self) -> u64 {
         self.led.as_ref().map_or(0, |led| led.term)
     }
 
-    /// Returns whether this instance is the named leader.
+    /// Returns whether this instance is the appointed leader.
     pub fn is_named(&self) -> bool {
         self.led
             .as_ref()
             .is_some_and(|led| led.leader == self.me.id)
     }
 
-    /// Takes the leadership that the registry shows.
+    /// Updates the leadership from the registry. Earlier terms are ignored.
     pub fn observe(&mut self, now: Moment, led: Option<&Leadership>) {
         let Some(led) = led else {
             return;
@@ -134,7 +134,7 @@
         self.is_named() && now < self.authority_until()
     }
 
-    /// Returns until when this instance may act as leader.
+    /// Returns the moment until which this instance may act as leader.
     pub fn authority_until(&self) -> Moment {
         if !self.is_named() || self.resigned {
             return Moment::ZERO;
@@ -153,22 +153,22 @@
             .filter(|id| *id != self.me.id)
             .map(|id| self.promises.get(&id).copied().unwrap_or_default())
             .min()
-            // Alone on the roster there is nobody to promise: the leader holds on.
+            // No other member could become leader, so the authority does not expire.
             .unwrap_or(Moment(u64::MAX))
     }
 
-    /// Gives up the leadership for good, before a planned stop.
+    /// Gives up the leadership permanently before a planned stop.
     pub const fn resign(&mut self) {
         self.resigned = true;
     }
 
-    /// Records that `peer` of this zone was heard.
+    /// Records a message from `peer` of this zone.
     pub fn hear(&mut self, now: Moment, peer: InstanceId) {
         self.heard.insert(peer, now);
     }
 
-    /// Returns what to send at `now`, given the live peers of this zone and whether
-    /// the root group was heard of lately.
+    /// Returns the requests due at `now`. `peers` are the connected peers of this
+    /// zone; `root_heard` tells whether the state of the root group is recent.
     pub fn tick(&mut self, now: Moment, peers: &[InstanceId], root_heard: bool) -> Vec<Action> {
         if now < self.act_at || self.resigned {
             return Vec::new();
@@ -185,8 +185,8 @@
             return Vec::new();
         };
         let known: BTreeSet<InstanceId> = led.roster.iter().map(|m| m.id).collect();
-        // A newcomer's promise is required from here on, before the root group
-        // counts it as a member.
+        // A new member's promise is required from now on, before the root group
+        // adds it to the roster and thereby allows its candidacy.
         self.joining
             .extend(peers.iter().filter(|id| !known.contains(id)));
         let is_silent = |id: &InstanceId| {
@@ -225,7 +225,7 @@
 
     fn maybe_campaign(&mut self, now: Moment, root_heard: bool) -> Vec<Action> {
         let term = self.term();
-        // Promises given before a restart must have lapsed.
+        // Promises made before a restart must have expired.
         if now < self.started + with_clock_margin(TERM) {
             return Vec::new();
         }
@@ -244,14 +244,14 @@
         vec![Action::Campaign { term }]
     }
 
-    /// Takes the root group's answer to a renewal sent at `sent_at`.
+    /// Handles the root group's reply to a renewal sent at `sent_at`.
     pub fn take_lease(&mut self, term: u64, sent_at: Moment, granted: bool) {
         if granted && self.is_named() && term == self.term() {
             self.root_until = self.root_until.max(sent_at + TERM);
         }
     }
 
-    /// Takes a member's answer to a request for its promise sent at `sent_at`.
+    /// Handles a member's reply to a promise request sent at `sent_at`.
     pub fn take_promise(&mut self, from: InstanceId, term: u64, sent_at: Moment, granted: bool) {
         if !self.is_named() || term != self.term() {
             return;
@@ -260,13 +260,13 @@
             let until = self.promises.entry(from).or_default();
             *until = (*until).max(sent_at + TERM);
         } else {
-            // Only a new term makes a member that refused promise again.
+            // A member that refused promises again only in a new term.
             self.roster_disputed = true;
         }
     }
 
-    /// Decides whether to promise `from`, leader of `term`, not to ask to be named
-    /// while the promise lasts.
+    /// Decides whether to promise `from`, the leader of `term`, not to become a
+    /// candidate before the promise expires.
     pub fn promise(
         &mut self,
         now: Moment,
@@ -295,7 +295,7 @@
     }
 }
 
-/// The root leader's record of the leases that it granted.
+/// Leases granted by the root leader and appointments that it has proposed.
 #[derive(Debug, Default)]
 pub struct Register {
     until: BTreeMap<String, Moment>,
@@ -303,7 +303,7 @@
 }
 
 impl Register {
-    /// Decides on a renewal by `from` in `term`.
+    /// Decides whether to renew the lease of `from` in `term`.
     pub fn renew(
         &mut self,
         now: Moment,
@@ -321,8 +321,9 @@
         true
     }
 
-    /// Decides on a candidacy: the previous lease must have run out, as must any
-    /// that an earlier root leader granted before `since`.
+    /// Decides whether `candidate` may be appointed. The previous lease must have
+    /// expired, and so must any lease granted by an earlier root leader before
+    /// `since`, the start of this root leadership.
     pub fn may_name(
         &self,
         now: Moment,
@@ -345,17 +346,17 @@
         })
     }
 
-    /// Refuses renewals until the naming that was proposed is decided.
+    /// Refuses renewals until the proposed appointment is decided.
     pub fn begin_naming(&mut self, zone: &str) {
         self.naming.insert(zone.to_owned());
     }
 
-    /// Ends a naming.
+    /// Records that the proposed appointment is decided.
     pub fn end_naming(&mut self, zone: &str) {
         self.naming.remove(zone);
     }
 
-    /// Forgets everything, when the root leadership begins or ends.
+    /// Clears all state when the root leadership begins or ends.
     pub fn clear(&mut self) {
         self.until.clear();
         self.naming.clear();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions without input or output.
+//! Decision logic without I/O.
 //!
-//! Nothing here reads a clock, a socket or a file. The present time and any
-//! randomness are arguments, and effects are returned as typed values.
+//! Nothing in this module reads a clock, a socket or a file. The current time and
+//! randomness are passed as arguments, and effects are returned as typed values.
 
 pub mod agent;
 pub mod allocator;
--- a/src/core/registry.rs
+++ b/src/core/registry.rs
@@ -1,7 +1,7 @@
 //! The replicated state machine of the root group.
 //!
-//! Commands are applied in the order of the log on every instance. Applying is
-//! deterministic and takes no time of its own.
+//! Every instance applies the commands in log order. Applying a command is
+//! deterministic and does not read the clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,10 +14,10 @@
 use crate::core::job;
 use crate::error::{Error, Kind};
 
-/// Accepted pushes that are remembered for resends.
+/// Number of accepted pushes that are kept to recognise repeated ones.
 const HISTORY_MAX: usize = 1_000;
 
-/// One run of an instance's process; a restart gets a new one.
+/// Identifies one process run of an instance. A restart gets a new ID.
 #[derive(
     Clone,
     Copy,
@@ -37,178 +37,181 @@
 #[display("{_0:016x}")]
 pub struct InstanceId(pub u64);
 
-/// A key that a team presents.
+/// API key of a team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Team that it stands for.
+    /// Team that the key authenticates.
     pub team: String,
     /// SHA-256 of the secret.
     pub digest: [u8; 32],
-    /// Zone that goes on taking it while cut off.
+    /// Zone that still accepts the key while it is cut off from the root group.
     pub home_zone: Option<String>,
-    /// Whether it has been withdrawn. Never becomes false again.
+    /// Whether the key is revoked, which is permanent.
     pub withdrawn: bool,
-    /// Position in the log of its withdrawal, or 0.
+    /// Log index of the revocation, or 0.
     pub withdrawn_at: u64,
 }
 
-/// An instance on a roster.
+/// An instance on the roster of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Peer address. A later run that is bound to the same address proves that
-    /// this one has ended.
+    /// Address for connections from peers. A later run bound to the same address
+    /// proves that this run has ended.
     pub address: String,
 }
 
-/// Who leads a zone, and whose promises count.
+/// Leader and roster of a zone in one term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leadership {
-    /// Rises with each change of leader or roster.
+    /// Term number, which increases with each change of leader or roster.
     pub term: u64,
-    /// Leader.
+    /// Instance that leads the zone.
     pub leader: InstanceId,
-    /// Instances whose promises together replace the root group's lease. Always
-    /// contains the leader.
+    /// Instances whose promises together can replace the root group's lease. Always
+    /// includes the leader.
     pub roster: Vec<Member>,
 }
 
-/// One accepted push of a configuration.
+/// An accepted push of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Push {
-    /// Version that it made.
+    /// Version created by the push.
     pub version: u64,
-    /// Digest of the configuration.
+    /// Digest of the pushed configuration.
     pub digest: [u8; 32],
-    /// Who pushed it.
+    /// Operator who pushed it.
     pub operator: String,
 }
 
-/// Units of one team's limit that move between the pool and a zone.
+/// Movement of units of one team's limit between the pool and a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Transfer {
-    /// Team.
+    /// Name of the team.
     pub team: String,
     /// Zone that gets or has returned units.
     pub zone: String,
-    /// Term of the zone's leadership; a return of an earlier term is ignored.
+    /// Term of the zone's leadership. Returns of an earlier term are ignored.
     pub term: u64,
-    /// Units to give, as far as the pool allows.
+    /// Units to give to the zone, limited by the free units of the pool.
     pub give: u64,
-    /// Units returned by the zone in all.
+    /// Counter of units that the zone has returned.
     pub returned: u64,
 }
 
-/// A change of the replicated state.
+/// Command that changes the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Command {
-    /// Changes nothing; marks the start of a leader's term.
+    /// Has no effect; marks the start of a leader's term.
     Noop,
     /// Replaces the configuration.
     Push {
-        /// Version that it replaces.
+        /// Version that the push replaces.
         replaces: u64,
         /// Digest of the new configuration.
         digest: [u8; 32],
-        /// What leads to it from the version that it replaces.
+        /// Difference from the replaced configuration to the new one.
         change: Box<Change>,
-        /// Who pushes.
+        /// Operator who pushes.
         operator: String,
     },
-    /// Gives a key.
+    /// Adds a key.
     GiveKey {
         /// Name of the key.
         id: String,
-        /// The key; `withdrawn` is ignored.
+        /// Key to add; `withdrawn` and `withdrawn_at` are ignored.
         key: Key,
     },
-    /// Withdraws a key for good.
+    /// Revokes a key permanently.
     WithdrawKey {
         /// Name of the key.
         id: String,
     },
-    /// Names a zone's leader or changes its roster.
+    /// Appoints a zone's leader or changes its roster.
     Lead {
-        /// Zone.
+        /// Name of the zone.
         zone: String,
-        /// Term that the proposer saw; another term in force refuses the command.
+        /// Current term as known to the proposer. The command is refused if the actual
+        /// term differs.
         seen_term: u64,
-        /// Leader from now on.
+        /// New leader.
         leader: InstanceId,
-        /// Roster from now on.
+        /// New roster, which must include the leader.
         roster: Vec<Member>,
     },
     /// Moves units of team limits.
     Transfer(Vec<Transfer>),
-    /// Adds a job.
+    /// Submits a job.
     Submit(Box<job::Job>),
     /// Cancels a job.
     Cancel {
-        /// Job.
+        /// Job to cancel.
         job: job::Id,
-        /// Team that asks, unless an operator does.
+        /// Team that requests it, or `None` for an operator.
         team: Option<String>,
     },
     /// Records ended tasks.
     End(Vec<job::Ended>),
 }
 
-/// What applying a command gave.
+/// Outcome of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Outcome {
-    /// Done; nothing to tell.
+    /// The command was applied.
     Done,
-    /// The version now in force for this push.
+    /// The push was accepted as this version.
     Pushed(u64),
-    /// The key was withdrawn at this position of the log. The home zone, if any,
-    /// must confirm.
+    /// The key is revoked. The leader of its home zone, if any, must still confirm
+    /// that it has applied the revocation.
     Withdrawn {
-        /// Position in the log.
+        /// Log index of the revocation.
         at: u64,
-        /// Zone that must confirm.
+        /// Home zone of the key.
         home_zone: Option<String>,
     },
-    /// The leadership in force.
+    /// The new leadership of the zone.
     Led(Leadership),
-    /// The job's identity, of this or of an earlier submission of the same.
+    /// ID of the submitted job, or of the earlier submission with the same
+    /// idempotency key.
     Submitted(job::Id),
-    /// Refused.
+    /// The command was refused and had no effect.
     Refused(Error),
 }
 
-/// The replicated state.
+/// The replicated state of the root group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Registry {
-    /// Position in the log that this state reflects.
+    /// Index of the last log entry that this state includes.
     pub applied: u64,
-    /// Version of the configuration; rises by one with each accepted push.
+    /// Version of the configuration, which increases by one with each accepted push.
     pub version: u64,
-    /// Configuration in force.
+    /// Current configuration.
     pub config: Config,
     /// Accepted pushes, oldest first.
     pub history: VecDeque<Push>,
     /// Keys by name.
     pub keys: BTreeMap<String, Key>,
-    /// Digests of all keys that were ever given.
+    /// Digests of all keys ever added, including revoked ones, so that no secret is
+    /// used twice.
     pub digests: BTreeSet<[u8; 32]>,
-    /// Rises with each change of a key.
+    /// Counter that increases with each change of a key.
     pub key_changes: u64,
-    /// Leaderships by zone.
+    /// Current leadership of each zone.
     pub zones: BTreeMap<String, Leadership>,
     /// Team limits divided among zones.
     pub limits: BTreeMap<String, Issuer<ZoneIndex>>,
-    /// Zones in the order in which they were first seen.
+    /// Zones in the order of their first leader.
     pub zone_names: Vec<String>,
-    /// Jobs.
+    /// Registered jobs.
     pub jobs: job::Table,
 }
 
@@ -218,8 +221,8 @@
 pub struct ZoneIndex(pub u16);
 
 impl Command {
-    /// Makes the push of `config` in place of version `replaces`, at an instance
-    /// that has `base` in force.
+    /// Creates a push of `config` that replaces version `replaces`. `base` is the
+    /// current configuration of the proposing instance.
     pub fn push(replaces: u64, base: &Config, config: &Config, operator: &str) -> Self {
         Self::Push {
             replaces,
@@ -231,7 +234,7 @@
 }
 
 impl Registry {
-    /// Applies the command at position `at` of the log.
+    /// Applies the command at log index `at`.
     pub fn apply(&mut self, at: u64, command: &Command) -> Outcome {
         self.applied = at;
         match command {
@@ -295,7 +298,7 @@
         }
         let config = change.applied_to(&self.config);
         if config.digest() != digest {
-            let message = "the instance that was asked lags behind; push again";
+            let message = "the proposing instance has an outdated configuration; push again";
             return Outcome::Refused(Error::new(Kind::NoQuorum, message));
         }
         self.version += 1;
@@ -312,8 +315,8 @@
         Outcome::Pushed(self.version)
     }
 
-    // A team that left the configuration keeps its issuer at capacity 0 until
-    // all its units are back.
+    // A team removed from the configuration keeps its issuer, with capacity 0, so that
+    // its outstanding units stay accounted for until they are returned.
     fn sync_limits(&mut self) {
         for (team, issuer) in &mut self.limits {
             let limit = self.config.teams.get(team).map_or(0, |t| t.limit);
@@ -335,11 +338,11 @@
             if old.digest == key.digest && old.team == key.team && !old.withdrawn {
                 return Outcome::Done;
             }
-            let message = format!("key {id} was given before");
+            let message = format!("key {id} already exists");
             return Outcome::Refused(Error::new(Kind::VersionConflict, message));
         }
         if !self.digests.insert(key.digest) {
-            let message = "a key with this secret was given before";
+            let message = "this secret is or was used by another key";
             return Outcome::Refused(Error::new(Kind::VersionConflict, message));
         }
         let key = Key {
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -4,16 +4,16 @@
 
 use rand::{Rng, RngExt};
 
-/// Retries allowed for each success, in thousandths.
+/// Retries earned by each success, in thousandths of a retry.
 const RETRY_MILLI_PER_SUCCESS: u64 = 100;
-/// Upper bound of the saved budget, in thousandths of a retry.
+/// Maximum of the retry budget, in thousandths of a retry.
 const BUDGET_CAP_MILLI: u64 = 10_000;
-/// Delay before the first retry.
+/// Upper limit of the delay before the first retry, doubled for each further one.
 const BACKOFF_BASE: Duration = Duration::from_millis(5);
-/// Longest delay before a retry.
+/// Upper limit of the delay before any retry.
 const BACKOFF_CAP: Duration = Duration::from_millis(250);
 
-/// Limits retries to a share of recent successes.
+/// Retry budget: a token bucket that is refilled by successes.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     milli: u64,
@@ -28,12 +28,12 @@
 }
 
 impl Budget {
-    /// Records a success, which earns a tenth of a retry.
+    /// Records a success, which adds a tenth of a retry to the budget.
     pub fn earn(&mut self) {
         self.milli = (self.milli + RETRY_MILLI_PER_SUCCESS).min(BUDGET_CAP_MILLI);
     }
 
-    /// Takes one retry from the budget; false if none is left.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub fn spend(&mut self) -> bool {
         if self.milli < 1_000 {
             return false;
@@ -43,7 +43,8 @@
     }
 }
 
-/// Returns the delay before retry `attempt` (from 0): exponential with full jitter.
+/// Returns the delay before retry number `attempt`, counted from 0: exponential
+/// backoff with full jitter.
 ///
 /// Source: "full jitter" of Brooker, Exponential Backoff and Jitter.
 pub fn backoff(attempt: u32, rng: &mut impl Rng) -> Duration {
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -1,4 +1,4 @@
-//! Which replicas should vote.
+//! Selection of the voters of the root group.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,34 +7,34 @@
 use crate::core::time::Moment;
 use crate::wire::Voter;
 
-/// Entries that a spare may lag behind and still be promoted.
+/// Maximum lag in log entries at which a spare may become a voter.
 const CAUGHT_UP_LAG: u64 = 64;
-/// A spare that was silent for longer is not promoted.
+/// Silence after which a spare is not made a voter.
 const SPARE_SILENCE_MAX: Duration = Duration::from_millis(1_500);
 
-/// What the leader knows of a replica's instance.
+/// Name and zone of a replica's instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Name of the instance.
+    /// Name of the replica's instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
 }
 
-/// How many replicas are to vote and when one is lost.
+/// Number of voters and the time after which a silent one is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wanted {
-    /// Voters, an odd number.
+    /// Intended number of voters, which must be odd.
     pub voters: usize,
-    /// A voter that was silent for longer is replaced.
+    /// Silence after which a voter is replaced.
     pub replace_after: Duration,
 }
 
-/// Returns the next set of voters, or none if the present one should stay. It differs
-/// by one replica: a spare joins before the voter that it replaces leaves.
+/// Returns the next set of voters, or `None` if the current set should stay. The sets
+/// differ by one replica: a spare is added before the voter it replaces is removed.
 ///
-/// `places` tells of the instances that are linked now. A voter whose instance came
-/// back under the same name with another replica has lost its disk.
+/// `places` lists the connected instances by replica. If an instance has returned
+/// under the name of a voter with a different replica, the voter has lost its disk.
 pub fn next_voters(
     now: Moment,
     replica: &Replica,
--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -1,16 +1,16 @@
-//! Weighted max-min division of a capacity.
+//! Weighted max-min fair division of a capacity.
 
 /// One claimant of a divided capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claimant {
     /// Relative weight, above zero.
     pub weight: f64,
-    /// The most that the claimant can use.
+    /// Amount that the claimant can use.
     pub demand: f64,
 }
 
-/// Divides `capacity` by weighted max-min: no claimant gets more than its
-/// demand, and what it leaves goes to the others by weight.
+/// Divides `capacity` by weighted max-min fairness: no claimant gets more than its
+/// demand, and the remainder is divided among the others by weight.
 ///
 /// Source: water filling over claimants ordered by demand for each unit of weight
 /// (Bertsekas and Gallager, Data Networks, section 6.5).
@@ -33,8 +33,8 @@
     given
 }
 
-/// Returns how far each claimant is below what [`divide`] gives it, as a
-/// fraction from 0 to 1. Claimants without demand count as satisfied.
+/// Returns for each claimant how far `got` is below the result of [`divide`], as a
+/// fraction from 0 to 1. Claimants without demand have no shortfall.
 pub fn shortfalls(capacity: f64, claimants: &[Claimant], got: &[f64]) -> Vec<f64> {
     divide(capacity, claimants)
         .into_iter()
@@ -48,19 +48,19 @@
         .collect()
 }
 
-/// One claimant of whole units.
+/// One claimant of a capacity in whole units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Claim {
-    /// Relative weight of its demand, above zero.
+    /// Relative weight; 0 counts as 1.
     pub weight: u64,
-    /// Units that it could use now.
+    /// Units that the claimant could use now.
     pub demand: u64,
-    /// Whether it also gets a part of what nobody demands.
+    /// Whether the claimant also gets a part of the units that nobody demands.
     pub standing: bool,
 }
 
-/// Divides `capacity` whole units: demands by weighted max-min, then the surplus
-/// evenly among claims with a standing part.
+/// Divides `capacity` in whole units: the demands by weighted max-min fairness, then
+/// the surplus evenly among the claimants that take part in it.
 pub fn targets(capacity: u64, claims: &[Claim]) -> Vec<u64> {
     let claimants: Vec<Claimant> = claims
         .iter()
@@ -85,8 +85,8 @@
     units
 }
 
-/// Rounds shares to whole units by largest remainder, without exceeding either the
-/// capacity or the next whole unit of any share.
+/// Rounds shares to whole units by the largest remainder method. The sum does not
+/// exceed the capacity, and no share is rounded beyond its next whole unit.
 pub fn round_down(capacity: u64, shares: &[f64]) -> Vec<u64> {
     const EPSILON: f64 = 1e-6;
     let mut units: Vec<u64> = shares
--- a/src/core/time.rs
+++ b/src/core/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as plain numbers.
+//! Monotonic time as integers.
 
 use std::time::Duration;
 
@@ -40,12 +40,12 @@
     }
 }
 
-/// Allowed difference in rate between any two clocks of the cell, as a divisor:
-/// one part in `CLOCK_RATE_DIVISOR`.
+/// Maximum difference in rate between any two clocks of the cell, as a divisor: 100
+/// means 1 %.
 const CLOCK_RATE_DIVISOR: u32 = 100;
 
-/// Extends a lease term on the side of its grantor, so that it outlasts the
-/// same term measured on a slower clock of the holder.
+/// Extends a lease duration on the grantor's side, so that it outlasts the same
+/// duration measured on a slower clock of the holder.
 pub fn with_clock_margin(term: Duration) -> Duration {
     term + term / CLOCK_RATE_DIVISOR
 }
