--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -1,4 +1,4 @@
-//! Escrow accounts under loss, repetition and reordering.
+//! Escrow accounts under message loss, repetition and reordering.
 
 use plantaincross::core::escrow::{Holding, Issuer};
 use plantaincross::core::share::{Claim, Claimant, divide, targets};
@@ -8,13 +8,14 @@
 
 const HOLDERS: usize = 4;
 
-/// Runs one seeded schedule of gifts, returns and messages that may be lost,
-/// repeated or overtaken; yields the most units held at once.
+/// Runs a seeded random schedule in which units are given, used and returned and
+/// messages are lost, repeated and reordered. Fails if the holders together may use
+/// more than `capacity`, or if one uses more than it may.
 fn run_schedule(seed: u64, capacity: u64) -> Result<(), String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut issuer: Issuer<usize> = Issuer::new(capacity);
     let mut holders = [Holding::default(); HOLDERS];
-    // Counters under way: holder, given, returned.
+    // Messages in transit: holder, units given, units returned.
     let mut network: Vec<(usize, u64, u64)> = Vec::new();
     for step in 0..400 {
         let at = rng.random_range(0..HOLDERS);
@@ -57,7 +58,7 @@
     }
     let pick = rng.random_range(0..network.len());
     let (at, given, returned) = network[pick];
-    // One in four stays in the network and comes again.
+    // A quarter of the messages stay in transit and are delivered again.
     if !rng.random_ratio(1, 4) {
         network.swap_remove(pick);
     }
@@ -101,7 +102,7 @@
         .iter()
         .zip(&claimants)
         .all(|(g, c)| *g <= c.demand + 1e-6);
-    // Whoever is short of its demand has no less for its weight than any other.
+    // A claimant whose demand is not met has at least as much per weight as any other.
     let fair = given.iter().zip(&claimants).all(|(g, c)| {
         let short = *g < c.demand - 1e-6;
         let level = g / c.weight;
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The request plane with real daemons, sockets and signals.
+//! Request handling with real daemon processes, sockets and signals.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep};
 
 const ZONE: [&str; 3] = ["a", "a", "a"];
-/// Requests of each caller that must be served.
+/// Successful requests that each caller must reach.
 const ROUNDS: usize = 40;
 
 macro_rules! cases {
@@ -23,7 +23,7 @@
 cases! {
     async fn no_upstream_is_overcommitted_by_all_instances_at_once() {
         let mut cell = Cell::serving(&ZONE, 2, Duration::from_millis(20)).await;
-        // Callers that are refused come back until they have had all their answers.
+        // Refused callers retry until the required number of requests has succeeded.
         let flood = |at: usize, key: &'static str, rounds: usize| {
             let mut client = cell.client(at, key);
             tokio::spawn(async move {
@@ -108,7 +108,8 @@
                 if answer.status().is_success() {
                     break;
                 }
-                // The path differs from the first try's, so a claim made then shows.
+                // The path differs from the first attempt's, so a claim made by that
+                // attempt is detected by its digest.
                 assert!(run != "not_run" || cell.runs(&id) == 0, "{kind} {run}");
                 if kind != "claim_unavailable" && kind != "overloaded" {
                     break;
@@ -124,7 +125,7 @@
 
     async fn orders_stay_claimed_when_the_zone_leader_dies() {
         let mut cell = Cell::serving(&ZONE, 1, Duration::from_millis(10)).await;
-        // Copies of all claims reach the other members within a second.
+        // Claims are synchronised to the other instances of the zone every 1 s.
         sleep(Duration::from_millis(2_500)).await;
         let leader = cell.zone_leader(0, "a").await;
         let other = (leader + 1) % 3;
@@ -151,7 +152,7 @@
     }
 
     async fn bad_answers_never_pass_for_whole() {
-        // A claim is kept by two instances at least.
+        // A claim needs a second instance for its copy.
         let cell = Cell::serving(&["a", "a"], 1, Duration::from_millis(5)).await;
         let upstream = cell.all_upstreams()[0].clone();
         for (behaviour, expected) in [
@@ -173,8 +174,9 @@
         cell.check_capacity();
     }
 
-    /// Instances that dial each other at once have two links, of which each side may use
-    /// another one.
+    /// Instances that connect to each other simultaneously have two links, and each side
+    /// may use a different one. A link must not count as silent because its peer uses
+    /// the other.
     async fn links_of_a_quiet_cell_stay_up() {
         let cell = Cell::serving(&ZONE, 1, Duration::from_millis(5)).await;
         sleep(PEER_SILENCE_MAX * 2).await;
@@ -211,7 +213,7 @@
                     match answer {
                         Ok(answer) if answer.status().is_success() => served += 1,
                         Ok(answer) => return Err(format!("{answer:?}")),
-                        // Only a connection that was never opened may fail.
+                        // Only requests whose connection was never opened may fail.
                         Err(err) if err.message.contains("Connection refused") => {
                             return Ok((served, at));
                         }
@@ -255,7 +257,8 @@
                 .expect("answers");
             assert_eq!(kind(answer.body()), (expected.to_owned(), "not_run".to_owned()), "{path}");
         }
-        // A repeat whose key no longer holds says nothing of the first try.
+        // A repeat that is refused for its own content or key must not report that the
+        // first attempt did not run.
         let ran = cell.order(0, "ran", "x").await.expect("answers");
         let first = (ran.status().is_success(), kind(ran.body()).0);
         let long = cell.order(0, "ran", &big).await.expect("answers");
