--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -20,7 +20,7 @@
 
 /// Initial balances that are reported when accounts are reopened.
 #[derive(Clone, Debug, Default)]
-struct Opening {
+struct OpeningBalances {
     slots: Vec<(Cell, u64)>,
     units: Vec<(Cell, u64)>,
     kept_idle: bool,
@@ -33,7 +33,7 @@
     local: bool,
     leader: InstanceId,
     epoch: u64,
-    opening: Option<Opening>,
+    opening: Option<OpeningBalances>,
     number: u64,
     received: u64,
     sent_at: Moment,
@@ -63,7 +63,7 @@
     }
 
     /// Announces the planned stop in every further report.
-    pub const fn leave(&mut self) {
+    pub const fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
@@ -129,8 +129,8 @@
             if !source.local && !ask_remote && !gate.return_source(source.key) {
                 continue;
             }
-            let wants = source.local || ask_remote;
-            let mut report = source.report(now, gate, wants);
+            let include_demands = source.local || ask_remote;
+            let mut report = source.report(now, gate, include_demands);
             report.zone.clone_from(name);
             report.from_zone.clone_from(&zone);
             report.leaving = self.leaving;
@@ -141,12 +141,12 @@
 
     /// Applies an allotment from the leader of a zone. Allotments of another epoch
     /// are ignored.
-    pub fn take(&mut self, gate: &mut Gate, now: Moment, allotment: &wire::Allotment) {
+    pub fn apply_allotment(&mut self, gate: &mut Gate, now: Moment, allotment: &wire::Allotment) {
         let Some(source) = self.sources.get_mut(&allotment.zone) else {
             return;
         };
         for info in &allotment.upstreams {
-            take_upstream(gate, source, &allotment.zone, info);
+            apply_upstream(gate, source, &allotment.zone, info);
         }
         if allotment.reopen {
             source.reopen(now, gate, allotment.epoch);
@@ -199,7 +199,7 @@
         } else {
             Vec::new()
         };
-        self.opening = Some(Opening {
+        self.opening = Some(OpeningBalances {
             slots,
             units,
             kept_idle,
@@ -207,7 +207,7 @@
         self.sent_at = Moment::ZERO;
     }
 
-    fn report(&mut self, now: Moment, gate: &mut Gate, wants: bool) -> wire::Report {
+    fn report(&mut self, now: Moment, gate: &mut Gate, include_demands: bool) -> wire::Report {
         self.sent_at = now;
         self.number += 1;
         let mut report = wire::Report {
@@ -217,10 +217,10 @@
             number: self.number,
             ..wire::Report::default()
         };
-        if wants {
+        if include_demands {
             report.demands = demands(gate);
         }
-        if let Some(Opening {
+        if let Some(OpeningBalances {
             slots,
             units,
             kept_idle,
@@ -228,8 +228,14 @@
         {
             report.opening = true;
             report.kept_idle = *kept_idle;
-            report.slots = slots.iter().map(|&(c, held)| opening(c, held)).collect();
-            report.units = units.iter().map(|&(c, held)| opening(c, held)).collect();
+            report.slots = slots
+                .iter()
+                .map(|&(c, held)| opening_balance(c, held))
+                .collect();
+            report.units = units
+                .iter()
+                .map(|&(c, held)| opening_balance(c, held))
+                .collect();
             return report;
         }
         let slots: Vec<(Cell, u64)> = gate
@@ -237,19 +243,19 @@
             .into_iter()
             .map(|(cell, account)| (cell, account.returned))
             .collect();
-        report.slots = self.changed(&slots);
+        report.slots = self.changed_balances(&slots);
         if self.local {
             let units: Vec<(Cell, u64)> = gate
                 .unit_accounts()
                 .into_iter()
                 .map(|(cell, account)| (cell, account.returned))
                 .collect();
-            report.units = self.changed(&units);
+            report.units = self.changed_balances(&units);
         }
         report
     }
 
-    fn changed(&mut self, counters: &[(Cell, u64)]) -> Vec<wire::Balance> {
+    fn changed_balances(&mut self, counters: &[(Cell, u64)]) -> Vec<wire::Balance> {
         let mut balances = Vec::new();
         for &(cell, returned) in counters {
             if self.acked.get(&cell).copied().unwrap_or(0) == returned {
@@ -281,7 +287,7 @@
     }
 }
 
-fn take_upstream(gate: &mut Gate, source: &Source, zone: &str, info: &wire::UpstreamInfo) {
+fn apply_upstream(gate: &mut Gate, source: &Source, zone: &str, info: &wire::UpstreamInfo) {
     let Ok(address) = info.address.parse() else {
         return;
     };
@@ -314,7 +320,7 @@
         .collect()
 }
 
-const fn opening(cell: Cell, held: u64) -> wire::Balance {
+const fn opening_balance(cell: Cell, held: u64) -> wire::Balance {
     wire::Balance {
         cell: cell.0,
         given: held,
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -12,7 +12,7 @@
 /// Maximum number of claims at one zone leader. Further IDs are refused.
 pub const CLAIMS_MAX: usize = 100_000;
 /// Maximum total size of the answer bodies kept by one zone leader.
-pub const ANSWER_BYTES_MAX: usize = 4 << 20;
+pub const ANSWERS_TOTAL_MAX_BYTES: usize = 4 << 20;
 /// Maximum size of one answer body that is kept.
 pub const ANSWER_MAX: usize = 64 << 10;
 
@@ -96,7 +96,7 @@
     order: VecDeque<(Moment, Id)>,
     answers: VecDeque<Id>,
     answer_bytes: usize,
-    complete_from: Option<Moment>,
+    complete_since: Option<Moment>,
     synced_by: Option<InstanceId>,
 }
 
@@ -113,7 +113,7 @@
 
     /// Records that claims made before `now` may be missing from the table.
     pub const fn lose_memory(&mut self, now: Moment) {
-        self.complete_from = Some(now);
+        self.complete_since = Some(now);
     }
 
     /// Records that the table holds all claims sent by `leader`.
@@ -140,12 +140,12 @@
     ) -> Verdict {
         self.expire(now, retention);
         if let Some(entry) = self.entries.get(&id) {
-            return repeat(entry, body);
+            return answer_repeat(entry, body);
         }
         if minted_age.is_some_and(|age| age >= retention) {
             return Verdict::Refused(Kind::ClaimUnknown);
         }
-        if let Some(from) = self.complete_from {
+        if let Some(from) = self.complete_since {
             let known = minted_age.is_some_and(|age| now.since(from) > age);
             if !known && now < from + retention {
                 return Verdict::Refused(Kind::ClaimUnknown);
@@ -183,12 +183,12 @@
             self.answers.push_back(id);
         }
         entry.state = State::Answered(kept);
-        self.shed_answers();
+        self.evict_answers();
     }
 
     /// Records that the outcome of the owner's run is unknown: it was sent, but
     /// no complete answer came back.
-    pub fn lose(&mut self, id: Id, owner: InstanceId) {
+    pub fn mark_unknown(&mut self, id: Id, owner: InstanceId) {
         if let Some(entry) = self.entries.get_mut(&id).filter(|e| e.owner == owner) {
             entry.state = State::Unknown;
         }
@@ -206,7 +206,7 @@
     }
 
     /// Records that the outcome of all running claims of `owner` is unknown.
-    pub fn lose_owner(&mut self, owner: InstanceId) {
+    pub fn mark_owner_lost(&mut self, owner: InstanceId) {
         for entry in self.entries.values_mut() {
             if entry.owner == owner && entry.state == State::Running {
                 entry.state = State::Unknown;
@@ -241,7 +241,7 @@
 
     /// Removes the copy of a released claim.
     pub fn remove(&mut self, id: Id) {
-        self.drop_entry(id);
+        self.remove_entry(id);
     }
 
     /// Returns the claim on `id`, with its answer.
@@ -290,18 +290,18 @@
             }
             self.order.pop_front();
             if self.entries.get(&id).is_some_and(|e| e.at == at) {
-                self.drop_entry(id);
+                self.remove_entry(id);
             }
         }
         if self
-            .complete_from
+            .complete_since
             .is_some_and(|from| now >= from + retention)
         {
-            self.complete_from = None;
+            self.complete_since = None;
         }
     }
 
-    fn drop_entry(&mut self, id: Id) {
+    fn remove_entry(&mut self, id: Id) {
         if let Some(entry) = self.entries.remove(&id)
             && let State::Answered(Some(answer)) = entry.state
         {
@@ -309,8 +309,8 @@
         }
     }
 
-    fn shed_answers(&mut self) {
-        while self.answer_bytes > ANSWER_BYTES_MAX {
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > ANSWERS_TOTAL_MAX_BYTES {
             let Some(id) = self.answers.pop_front() else {
                 return;
             };
@@ -324,7 +324,7 @@
     }
 }
 
-fn repeat(entry: &Entry, body: u64) -> Verdict {
+fn answer_repeat(entry: &Entry, body: u64) -> Verdict {
     if entry.body != body {
         return Verdict::Refused(Kind::IdReused);
     }
--- a/src/core/control/claims.rs
+++ b/src/core/control/claims.rs
@@ -10,37 +10,37 @@
 use crate::error::{Error, Kind};
 
 /// First call number of the range used by the control state itself.
-const INTERNAL: u64 = 1 << 63;
+const FIRST_INTERNAL_CALL: u64 = 1 << 63;
 /// Call number of a zone's demand reports to the root leader.
-pub const WANTS_CALL: u64 = INTERNAL;
+pub const DEMAND_CALL: u64 = FIRST_INTERNAL_CALL;
 /// Maximum time that a new leader waits for copies from the former roster.
 const RECOVERY_MAX: Duration = Duration::from_millis(1_500);
 /// Interval at which all claims are sent to members that lack some.
 const SYNC_EVERY: Duration = Duration::from_millis(1_000);
 /// Maximum number of claims in one message.
-const BATCH_MAX: usize = 4_000;
+const BATCH_CLAIMS_MAX: usize = 4_000;
 /// Number of instances in other zones that get copies if the zone has no other
 /// instance.
-const OUTSIDE_COPIES: usize = 2;
+const COPIES_OUTSIDE_ZONE: usize = 2;
 
 /// A claim that is granted once its first copy is confirmed.
 #[derive(Debug)]
-struct Waiting {
+struct PendingClaim {
     origin: Origin,
     id: Id,
     owner: InstanceId,
-    left: usize,
+    copies_left: usize,
 }
 
 /// Replication state of the claims.
 #[derive(Debug, Default)]
-pub struct Copies {
+pub struct Replication {
     next: u64,
-    waiting: BTreeMap<u64, Waiting>,
+    pending_claims: BTreeMap<u64, PendingClaim>,
     calls: BTreeMap<u64, Purpose>,
     recovery: Option<Recovery>,
     synced: BTreeSet<InstanceId>,
-    sync_at: Moment,
+    next_sync_at: Moment,
 }
 
 /// Purpose of an internal call.
@@ -63,14 +63,14 @@
 
 /// Returns whether `call` was made by the control state itself.
 pub const fn is_internal(call: u64) -> bool {
-    call >= INTERNAL
+    call >= FIRST_INTERNAL_CALL
 }
 
 impl Control {
-    pub(super) fn take_claim(&mut self, now: Moment, origin: Origin, attempt: &Attempt) {
+    pub(super) fn handle_claim(&mut self, now: Moment, origin: Origin, attempt: &Attempt) {
         let ready = self.participant.may_act(now)
-            && attempt.home == self.me.zone
-            && self.copies.recovery.is_none();
+            && attempt.home == self.identity.zone
+            && self.replication.recovery.is_none();
         if !ready {
             let message = "the home zone of this request id has no leader ready to grant claims";
             let err = Error::new(Kind::ClaimUnavailable, message);
@@ -78,7 +78,7 @@
             return;
         }
         let retention = self.registry.config.cell.claim_retention;
-        let zone = self.me.zone.clone();
+        let zone = self.identity.zone.clone();
         let verdict = self.claims_of(&zone).claim(
             now,
             attempt.id,
@@ -98,30 +98,35 @@
             self.answer(now, origin, Answer::Verdict(refused));
             return;
         }
-        self.copies.next += 1;
-        let number = self.copies.next;
-        let waiting = Waiting {
+        self.replication.next += 1;
+        let number = self.replication.next;
+        let pending = PendingClaim {
             origin,
             id: attempt.id,
             owner: attempt.owner,
-            left: targets.len(),
+            copies_left: targets.len(),
         };
-        self.copies.waiting.insert(number, waiting);
+        self.replication.pending_claims.insert(number, pending);
         self.copy_record(now, attempt.id, &targets, Purpose::Copy(number));
     }
 
-    pub(super) fn take_settlement(&mut self, now: Moment, origin: Origin, settlement: Settlement) {
-        if !self.participant.may_act(now) || settlement.home != self.me.zone {
+    pub(super) fn handle_settlement(
+        &mut self,
+        now: Moment,
+        origin: Origin,
+        settlement: Settlement,
+    ) {
+        if !self.participant.may_act(now) || settlement.home != self.identity.zone {
             let err = Error::from(Kind::ClaimUnavailable);
             self.answer(now, origin, Answer::Failed(err));
             return;
         }
         let Settlement { id, owner, end, .. } = settlement;
-        let zone = self.me.zone.clone();
+        let zone = self.identity.zone.clone();
         let table = self.claims_of(&zone);
         match end {
             End::Answered(answer) => table.finish(id, owner, answer),
-            End::Lost => table.lose(id, owner),
+            End::Lost => table.mark_unknown(id, owner),
             End::Released => table.release(id, owner),
         }
         let targets = self.copy_targets();
@@ -134,17 +139,17 @@
         let peers = self.peers.values().map(|k| &k.peer);
         let own: Vec<InstanceId> = peers
             .clone()
-            .filter(|p| p.zone == self.me.zone)
+            .filter(|p| p.zone == self.identity.zone)
             .map(|p| p.id)
             .collect();
         if !own.is_empty() {
             return own;
         }
-        peers.map(|p| p.id).take(OUTSIDE_COPIES).collect()
+        peers.map(|p| p.id).take(COPIES_OUTSIDE_ZONE).collect()
     }
 
     fn copy_record(&mut self, now: Moment, id: Id, targets: &[InstanceId], purpose: Purpose) {
-        let zone = self.me.zone.clone();
+        let zone = self.identity.zone.clone();
         let record = self.claims_of(&zone).record(now, id);
         let batch = Batch {
             zone,
@@ -162,47 +167,51 @@
     }
 
     fn call_internal(&mut self, now: Moment, to: InstanceId, query: Query, purpose: Purpose) {
-        self.copies.next += 1;
-        let call = INTERNAL + self.copies.next;
-        self.copies.calls.insert(call, purpose);
+        self.replication.next += 1;
+        let call = FIRST_INTERNAL_CALL + self.replication.next;
+        self.replication.calls.insert(call, purpose);
         self.route(now, Origin::Local(call), &Target::Instance(to), query);
     }
 
-    pub(super) fn take_claims_answer(&mut self, now: Moment, call: u64, answer: &Answer) {
-        let Some(purpose) = self.copies.calls.remove(&call) else {
+    pub(super) fn handle_claims_answer(&mut self, now: Moment, call: u64, answer: &Answer) {
+        let Some(purpose) = self.replication.calls.remove(&call) else {
             return;
         };
         let ok = !matches!(answer, Answer::Failed(_));
         match purpose {
-            Purpose::Copy(number) => self.take_copy_answer(now, number, ok),
+            Purpose::Copy(number) => self.handle_copy_answer(now, number, ok),
             Purpose::Sync(member) if ok => {
-                self.copies.synced.insert(member);
+                self.replication.synced.insert(member);
             }
-            Purpose::Fetch(member) => self.take_fetched(now, member, answer),
+            Purpose::Fetch(member) => self.handle_fetched(now, member, answer),
             Purpose::Sync(_) | Purpose::Update => {}
         }
     }
 
-    fn take_copy_answer(&mut self, now: Moment, number: u64, ok: bool) {
-        let Some(waiting) = self.copies.waiting.get_mut(&number) else {
+    fn handle_copy_answer(&mut self, now: Moment, number: u64, ok: bool) {
+        let Some(pending) = self.replication.pending_claims.get_mut(&number) else {
             return;
         };
-        waiting.left -= 1;
-        if !ok && waiting.left > 0 {
+        pending.copies_left -= 1;
+        if !ok && pending.copies_left > 0 {
             return;
         }
-        let waiting = self.copies.waiting.remove(&number).expect("present");
+        let pending = self
+            .replication
+            .pending_claims
+            .remove(&number)
+            .expect("present");
         let verdict = if ok {
             Verdict::Granted
         } else {
-            let zone = self.me.zone.clone();
-            self.claims_of(&zone).release(waiting.id, waiting.owner);
+            let zone = self.identity.zone.clone();
+            self.claims_of(&zone).release(pending.id, pending.owner);
             Verdict::Refused(Kind::ClaimUnavailable)
         };
-        self.answer(now, waiting.origin, Answer::Verdict(verdict));
+        self.answer(now, pending.origin, Answer::Verdict(verdict));
     }
 
-    pub(super) fn take_copies(&mut self, now: Moment, batch: Batch) {
+    pub(super) fn store_copies(&mut self, now: Moment, batch: Batch) {
         let table = self.claims_of(&batch.zone);
         for id in batch.removed {
             table.remove(id);
@@ -225,25 +234,25 @@
 
     /// Starts to collect the former leader's claims from the members of its roster.
     pub(super) fn recover_claims(&mut self, now: Moment, former: Option<&Leadership>) {
-        self.copies.synced.clear();
+        self.replication.synced.clear();
         let Some(former) = former else {
             return;
         };
-        let zone = self.me.zone.clone();
+        let zone = self.identity.zone.clone();
         let others: BTreeSet<InstanceId> = former
             .roster
             .iter()
             .map(|m| m.id)
             .filter(|id| *id != former.leader)
             .collect();
-        let own = others.contains(&self.me.id)
+        let own = others.contains(&self.identity.id)
             && self.claims_of(&zone).synced_by() == Some(former.leader);
         let missing: BTreeSet<InstanceId> = others
             .iter()
             .copied()
-            .filter(|id| *id != self.me.id)
+            .filter(|id| *id != self.identity.id)
             .collect();
-        self.copies.recovery = Some(Recovery {
+        self.replication.recovery = Some(Recovery {
             complete: own,
             missing: missing.clone(),
             former: former.leader,
@@ -255,13 +264,13 @@
         }
     }
 
-    fn take_fetched(&mut self, now: Moment, member: InstanceId, answer: &Answer) {
+    fn handle_fetched(&mut self, now: Moment, member: InstanceId, answer: &Answer) {
         let Answer::Copies(batch) = answer else {
             return;
         };
-        let zone = self.me.zone.clone();
+        let zone = self.identity.zone.clone();
         self.claims_of(&zone).merge(now, batch.records.clone());
-        if let Some(recovery) = &mut self.copies.recovery {
+        if let Some(recovery) = &mut self.replication.recovery {
             recovery.missing.remove(&member);
             recovery.complete &= batch.synced_by == Some(recovery.former);
         }
@@ -271,29 +280,29 @@
         if !self.participant.may_act(now) {
             return;
         }
-        if let Some(recovery) = &self.copies.recovery {
+        if let Some(recovery) = &self.replication.recovery {
             if !recovery.missing.is_empty() && now < recovery.until {
                 return;
             }
             let is_complete = recovery.complete && recovery.missing.is_empty();
-            self.copies.recovery = None;
+            self.replication.recovery = None;
             if !is_complete {
-                let zone = self.me.zone.clone();
+                let zone = self.identity.zone.clone();
                 self.claims_of(&zone).lose_memory(now);
             }
         }
-        if now >= self.copies.sync_at {
-            self.copies.sync_at = now + SYNC_EVERY;
+        if now >= self.replication.next_sync_at {
+            self.replication.next_sync_at = now + SYNC_EVERY;
             self.sync_members(now);
         }
     }
 
     fn sync_members(&mut self, now: Moment) {
-        let zone = self.me.zone.clone();
+        let zone = self.identity.zone.clone();
         let unsynced: Vec<InstanceId> = self
             .peers
             .values()
-            .filter(|k| k.peer.zone == zone && !self.copies.synced.contains(&k.peer.id))
+            .filter(|k| k.peer.zone == zone && !self.replication.synced.contains(&k.peer.id))
             .map(|k| k.peer.id)
             .collect();
         if unsynced.is_empty() {
@@ -301,7 +310,10 @@
         }
         let records = self.claims_of(&zone).records(now);
         for member in unsynced {
-            let mut batches: Vec<_> = records.chunks(BATCH_MAX).map(<[_]>::to_vec).collect();
+            let mut batches: Vec<_> = records
+                .chunks(BATCH_CLAIMS_MAX)
+                .map(<[_]>::to_vec)
+                .collect();
             let last = batches.pop().unwrap_or_default();
             for batch in batches {
                 self.send_batch(now, member, batch, Purpose::Update);
@@ -317,9 +329,9 @@
         records: Vec<crate::core::claim::Record>,
         purpose: Purpose,
     ) {
-        let synced_by = matches!(purpose, Purpose::Sync(_)).then_some(self.me.id);
+        let synced_by = matches!(purpose, Purpose::Sync(_)).then_some(self.identity.id);
         let batch = Batch {
-            zone: self.me.zone.clone(),
+            zone: self.identity.zone.clone(),
             records,
             removed: Vec::new(),
             synced_by,
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -25,7 +25,7 @@
 use crate::core::freshness::Tracker;
 use crate::core::gate::Gate;
 use crate::core::job::{Ended, Task};
-use crate::core::lease::{Participant, Register};
+use crate::core::lease::{Grants, Participant};
 use crate::core::registry::{Command, InstanceId, Member, Outcome, Registry};
 use crate::core::time::Moment;
 use crate::error::{Error, Kind};
@@ -141,9 +141,9 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct PeerState {
     peer: Peer,
-    heard: Moment,
+    last_heard: Moment,
     ping_received: u64,
     ping_received_at: Moment,
 }
@@ -151,45 +151,45 @@
 /// Control state of one instance.
 #[derive(Debug)]
 pub struct Control {
-    me: Identity,
+    identity: Identity,
     gate: Arc<Mutex<Gate>>,
     replica: Replica,
     registry: Registry,
-    peers: BTreeMap<InstanceId, Known>,
+    peers: BTreeMap<InstanceId, PeerState>,
     fresh: Tracker,
     participant: Participant,
     agent: Agent,
     allocator: Option<Allocator>,
     fleet: Option<Fleet>,
-    polls: BTreeMap<String, Pending>,
-    ends: BTreeMap<Task, Ended>,
-    ends_at: Moment,
-    jobs_seen: u64,
-    withdraw_at: Moment,
-    register: Register,
+    waiting_polls: BTreeMap<String, Pending>,
+    unconfirmed_ends: BTreeMap<Task, Ended>,
+    next_ends_at: Moment,
+    synced_job_changes: u64,
+    next_withdrawal_at: Moment,
+    lease_grants: Grants,
     root_term: Option<u64>,
-    acting: bool,
-    wants: BTreeMap<(String, String), root::Demanded>,
-    told: BTreeMap<String, root::Want>,
-    told_at: Moment,
-    wants_at: Moment,
+    had_authority: bool,
+    demands: BTreeMap<(String, String), root::RecordedDemand>,
+    reported: BTreeMap<String, root::TeamDemand>,
+    full_report_at: Moment,
+    next_report_at: Moment,
     proposals: BTreeMap<u64, (u64, Option<Origin>, Option<String>)>,
     calls: BTreeMap<u64, Pending>,
     next_call: u64,
-    ping_at: Moment,
-    gossip_at: Moment,
+    next_ping_at: Moment,
+    next_gossip_at: Moment,
     tombstones: BTreeSet<String>,
     claims: BTreeMap<String, claim::Table>,
-    copies: claims::Copies,
+    replication: claims::Replication,
     leaving: bool,
-    ticked_at: Moment,
+    last_tick_at: Moment,
     effects: Vec<Effect>,
 }
 
 impl Control {
     /// Creates the control state of an instance that starts at `now`.
     pub fn new(
-        me: Identity,
+        identity: Identity,
         gate: Arc<Mutex<Gate>>,
         stored: Stored,
         now: Moment,
@@ -197,10 +197,17 @@
     ) -> Self {
         let registry = decode_registry(&stored.snapshot.data).unwrap_or_default();
         let member = Member {
-            id: me.id,
-            address: me.address.clone(),
+            id: identity.id,
+            address: identity.address.clone(),
         };
-        let replica = Replica::new(me.replica, &me.name, me.durable, stored, now, seed);
+        let replica = Replica::new(
+            identity.replica,
+            &identity.name,
+            identity.durable,
+            stored,
+            now,
+            seed,
+        );
         let mut control = Self {
             gate,
             replica,
@@ -208,35 +215,35 @@
             peers: BTreeMap::new(),
             fresh: Tracker::default(),
             participant: Participant::new(member, now),
-            agent: Agent::new(me.zone.clone()),
+            agent: Agent::new(identity.zone.clone()),
             allocator: None,
             fleet: None,
-            polls: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            ends_at: now,
-            jobs_seen: u64::MAX,
-            withdraw_at: now,
-            register: Register::default(),
+            waiting_polls: BTreeMap::new(),
+            unconfirmed_ends: BTreeMap::new(),
+            next_ends_at: now,
+            synced_job_changes: u64::MAX,
+            next_withdrawal_at: now,
+            lease_grants: Grants::default(),
             root_term: None,
-            acting: false,
-            wants: BTreeMap::new(),
-            told: BTreeMap::new(),
-            told_at: Moment::ZERO,
-            wants_at: now,
+            had_authority: false,
+            demands: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            full_report_at: Moment::ZERO,
+            next_report_at: now,
             proposals: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: seed,
-            ping_at: now,
-            gossip_at: now,
+            next_ping_at: now,
+            next_gossip_at: now,
             tombstones: BTreeSet::new(),
             claims: BTreeMap::new(),
-            copies: claims::Copies::default(),
+            replication: claims::Replication::default(),
             leaving: false,
-            ticked_at: now,
+            last_tick_at: now,
             effects: Vec::new(),
-            me,
+            identity,
         };
-        control.take_registry(now, 0);
+        control.apply_registry(now, 0);
         control
     }
 
@@ -303,7 +310,7 @@
             Input::Tick => self.tick(now),
             Input::PeerUp(peer) => self.peer_up(now, peer),
             Input::PeerDown(id) => self.peer_down(now, id),
-            Input::Message(from, body) => self.message(now, from, body),
+            Input::Message(from, body) => self.handle_message(now, from, body),
             Input::Ask {
                 call,
                 target,
@@ -335,15 +342,15 @@
             self.effects.push(Effect::Event(Event::SnapshotLoaded {
                 index: snapshot.index,
             }));
-            self.take_registry(now, before);
+            self.apply_registry(now, before);
         }
         if !ready.committed.is_empty() {
             for entry in ready.committed {
                 self.apply(now, entry.index, entry.term, &entry.command, &entry.voters);
             }
-            self.take_registry(now, before);
+            self.apply_registry(now, before);
         }
-        self.fresh.apply(self.registry.applied);
+        self.fresh.advance(self.registry.applied);
         std::mem::take(&mut self.effects)
     }
 
@@ -359,11 +366,11 @@
     }
 
     fn tick(&mut self, now: Moment) {
-        self.forgive_own_pause(now);
+        self.reset_silence_after_pause(now);
         self.replica.tick(now);
         self.expire_peers(now);
         self.expire_calls(now);
-        self.found(now);
+        self.found_group(now);
         self.ping(now);
         self.tick_root(now);
         self.tick_zone(now);
@@ -380,8 +387,8 @@
             self.agent.tick(now, &mut gate)
         };
         for (leader, report) in reports {
-            if leader == self.me.id {
-                self.take_report(now, self.me.id, &report);
+            if leader == self.identity.id {
+                self.handle_report(now, self.identity.id, &report);
             } else {
                 self.send(leader, Body::Report(report));
             }
@@ -390,18 +397,18 @@
 
     // The first founder by name founds the root group once all other founders are
     // connected and none of them belongs to a group.
-    fn found(&mut self, now: Moment) {
-        if !self.replica.is_blank() || !self.me.durable {
+    fn found_group(&mut self, now: Moment) {
+        if !self.replica.is_blank() || !self.identity.durable {
             return;
         }
-        let mut names = self.me.founders.clone();
+        let mut names = self.identity.founders.clone();
         names.sort_unstable();
-        if names.first() != Some(&self.me.name) {
+        if names.first() != Some(&self.identity.name) {
             return;
         }
         let mut voters = vec![Voter {
-            replica: self.me.replica,
-            name: self.me.name.clone(),
+            replica: self.identity.replica,
+            name: self.identity.name.clone(),
         }];
         for name in names.iter().skip(1) {
             let peer = self.peers.values().find(|k| k.peer.name == *name);
@@ -421,7 +428,10 @@
     }
 
     fn zone_leader(&self, zone: &str) -> Option<InstanceId> {
-        self.registry.zones.get(zone).map(|led| led.leader)
+        self.registry
+            .zones
+            .get(zone)
+            .map(|leadership| leadership.leader)
     }
 
     fn apply(&mut self, now: Moment, index: u64, term: u64, command: &Bytes, voters: &[Voter]) {
@@ -449,9 +459,9 @@
         if let Ok(command) = &decoded {
             self.record_command(command, &outcome);
         }
-        if let Some((proposed, origin, naming)) = self.proposals.remove(&index) {
-            if let Some(zone) = naming {
-                self.register.end_naming(&zone);
+        if let Some((proposed, origin, appointed_zone)) = self.proposals.remove(&index) {
+            if let Some(zone) = appointed_zone {
+                self.lease_grants.end_appointment(&zone);
             }
             let answer = if proposed == term {
                 Answer::Outcome(outcome)
@@ -479,7 +489,7 @@
     }
 
     // Updates all state that is derived from the registry.
-    fn take_registry(&mut self, now: Moment, version_before: u64) {
+    fn apply_registry(&mut self, now: Moment, version_before: u64) {
         let version = self.registry.version;
         let mut gate = self.gate.lock().expect("gate lock");
         if version != version_before {
@@ -492,8 +502,8 @@
             self.effects
                 .push(Effect::Event(Event::ConfigInForce { version }));
         }
-        for (zone, led) in &self.registry.zones {
-            self.agent.set_leader(&mut gate, zone, led.leader);
+        for (zone, leadership) in &self.registry.zones {
+            self.agent.set_leader(&mut gate, zone, leadership.leader);
         }
         drop(gate);
         self.observe_leadership(now);
@@ -503,8 +513,8 @@
     fn leave(&mut self, now: Moment) {
         self.leaving = true;
         self.release_polls(now);
-        self.agent.leave();
-        self.ping_at = now;
+        self.agent.set_leaving();
+        self.next_ping_at = now;
         self.effects.push(Effect::Event(Event::Draining {}));
     }
 
--- a/src/core/control/peers.rs
+++ b/src/core/control/peers.rs
@@ -4,8 +4,8 @@
 
 use super::query::Target;
 use super::{
-    Answer, CALL_TIMEOUT, Control, Effect, GOSSIP_EVERY, Known, OWN_PAUSE_MIN, Origin,
-    PEER_SILENCE_MAX, PING_EVERY, Peer, Pending, Query, WITHDRAW_EVERY, claims, root,
+    Answer, CALL_TIMEOUT, Control, Effect, GOSSIP_EVERY, OWN_PAUSE_MIN, Origin, PEER_SILENCE_MAX,
+    PING_EVERY, Peer, PeerState, Pending, Query, WITHDRAW_EVERY, claims, root,
 };
 use crate::core::registry::{Command, InstanceId};
 use crate::core::time::Moment;
@@ -18,15 +18,15 @@
         self.effects.push(Effect::Event(Event::PeerUp {
             peer: peer.name.clone(),
         }));
-        let known = Known {
-            heard: now,
+        let known = PeerState {
+            last_heard: now,
             ping_received: 0,
             ping_received_at: now,
             peer,
         };
         self.peers.insert(known.peer.id, known);
-        self.gossip_at = now;
-        self.ping_at = now;
+        self.next_gossip_at = now;
+        self.next_ping_at = now;
     }
 
     pub(super) fn peer_down(&mut self, now: Moment, id: InstanceId) {
@@ -36,25 +36,25 @@
             }));
         }
         // Calls to this peer will not be answered.
-        self.give_up_calls(now, |pending| pending.to == id);
+        self.fail_calls(now, |pending| pending.to == id);
     }
 
     // During a pause of this process no messages were handled, so the silence of the
     // peers does not mean that they are gone.
-    pub(super) fn forgive_own_pause(&mut self, now: Moment) {
-        if now.since(self.ticked_at) > OWN_PAUSE_MIN {
+    pub(super) fn reset_silence_after_pause(&mut self, now: Moment) {
+        if now.since(self.last_tick_at) > OWN_PAUSE_MIN {
             for known in self.peers.values_mut() {
-                known.heard = now;
+                known.last_heard = now;
             }
         }
-        self.ticked_at = now;
+        self.last_tick_at = now;
     }
 
     pub(super) fn expire_peers(&mut self, now: Moment) {
         let silent: Vec<InstanceId> = self
             .peers
             .iter()
-            .filter(|(_, k)| now.since(k.heard) >= PEER_SILENCE_MAX)
+            .filter(|(_, k)| now.since(k.last_heard) >= PEER_SILENCE_MAX)
             .map(|(&id, _)| id)
             .collect();
         for id in silent {
@@ -63,10 +63,10 @@
     }
 
     pub(super) fn expire_calls(&mut self, now: Moment) {
-        self.give_up_calls(now, |pending| now >= pending.until);
+        self.fail_calls(now, |pending| now >= pending.until);
     }
 
-    fn give_up_calls(&mut self, now: Moment, is_lost: impl Fn(&Pending) -> bool) {
+    fn fail_calls(&mut self, now: Moment, is_lost: impl Fn(&Pending) -> bool) {
         let (lost, kept): (BTreeMap<u64, Pending>, BTreeMap<u64, Pending>) =
             std::mem::take(&mut self.calls)
                 .into_iter()
@@ -82,16 +82,16 @@
     pub(super) fn ping(&mut self, now: Moment) {
         if self.replica.is_leased(now) {
             self.fresh
-                .hear(now, self.replica.commit(), self.registry.applied);
+                .record(now, self.replica.commit(), self.registry.applied);
         }
-        if now < self.ping_at {
+        if now < self.next_ping_at {
             return;
         }
-        self.ping_at = now + PING_EVERY;
+        self.next_ping_at = now + PING_EVERY;
         let fresh_age = self.fresh.age(now).map(|age| age.as_micros() as u64);
-        let gossips = now >= self.gossip_at;
+        let gossips = now >= self.next_gossip_at;
         if gossips {
-            self.gossip_at = now + GOSSIP_EVERY;
+            self.next_gossip_at = now + GOSSIP_EVERY;
         }
         let peers: Vec<String> = self
             .peers
@@ -124,44 +124,44 @@
         self.effects.push(Effect::Publish);
     }
 
-    pub(super) fn message(&mut self, now: Moment, from: InstanceId, body: Body) {
+    pub(super) fn handle_message(&mut self, now: Moment, from: InstanceId, body: Body) {
         let Some(known) = self.peers.get_mut(&from) else {
             return;
         };
-        known.heard = now;
-        if known.peer.zone == self.me.zone {
-            self.participant.hear(now, from);
+        known.last_heard = now;
+        if known.peer.zone == self.identity.zone {
+            self.participant.record_message(now, from);
         }
         match body {
             Body::Raft(raft) => self.replica.step(now, raft),
-            Body::Ping(ping) => self.take_ping(now, from, &ping),
-            Body::Call(call) => self.take_call(now, from, &call),
-            Body::Return(ret) => self.take_return(now, &ret),
-            Body::LeaseRequest(request) => self.take_lease_request(now, from, &request),
-            Body::LeaseReply(reply) => self.participant.take_lease(
+            Body::Ping(ping) => self.handle_ping(now, from, &ping),
+            Body::Call(call) => self.handle_call(now, from, &call),
+            Body::Return(ret) => self.handle_return(now, &ret),
+            Body::LeaseRequest(request) => self.handle_lease_request(now, from, &request),
+            Body::LeaseReply(reply) => self.participant.handle_lease_reply(
                 reply.term,
                 Moment(reply.sent_at),
-                reply.granted && reply.zone == self.me.zone,
+                reply.granted && reply.zone == self.identity.zone,
             ),
-            Body::PromiseRequest(request) => self.take_promise_request(now, from, &request),
+            Body::PromiseRequest(request) => self.handle_promise_request(now, from, &request),
             Body::PromiseReply(reply) => {
-                self.participant.take_promise(
+                self.participant.handle_promise_reply(
                     from,
                     reply.term,
                     Moment(reply.sent_at),
                     reply.granted,
                 );
             }
-            Body::Report(report) => self.take_report(now, from, &report),
-            Body::Allotment(allotment) => self.take_allotment(now, from, &allotment),
-            Body::Withdrawn(withdrawn) => self.take_withdrawn(withdrawn.keys),
+            Body::Report(report) => self.handle_report(now, from, &report),
+            Body::Allotment(allotment) => self.handle_allotment(now, from, &allotment),
+            Body::Withdrawn(withdrawn) => self.handle_withdrawn(withdrawn.keys),
             // Sent only in cells with a single task plane, which do not use this control
             // state.
             Body::Leading(_) => {}
         }
     }
 
-    pub(super) fn take_ping(&mut self, now: Moment, from: InstanceId, ping: &Ping) {
+    pub(super) fn handle_ping(&mut self, now: Moment, from: InstanceId, ping: &Ping) {
         let Some(known) = self.peers.get_mut(&from) else {
             return;
         };
@@ -174,11 +174,11 @@
             let stated_at = ping.echo.saturating_add(ping.held);
             let as_of = Moment(stated_at.saturating_sub(age));
             self.fresh
-                .hear(as_of, ping.fresh_index, self.registry.applied);
+                .record(as_of, ping.fresh_index, self.registry.applied);
         }
     }
 
-    pub(super) fn take_withdrawn(&mut self, keys: Vec<String>) {
+    pub(super) fn handle_withdrawn(&mut self, keys: Vec<String>) {
         let new: Vec<String> = keys
             .into_iter()
             .filter(|key| self.tombstones.insert(key.clone()))
@@ -199,10 +199,10 @@
 
     // Proposes each known revocation of a key until it is in the registry.
     pub(super) fn repeat_withdrawals(&mut self, now: Moment) {
-        if now < self.withdraw_at {
+        if now < self.next_withdrawal_at {
             return;
         }
-        self.withdraw_at = now + WITHDRAW_EVERY;
+        self.next_withdrawal_at = now + WITHDRAW_EVERY;
         let open: Vec<String> = self
             .tombstones
             .iter()
@@ -216,7 +216,7 @@
             .collect();
         for id in open {
             let query = Query::Propose(Command::WithdrawKey { id });
-            self.route(now, root::NOBODY, &Target::Root, query);
+            self.route(now, root::NO_REPLY, &Target::Root, query);
         }
     }
 
@@ -236,7 +236,7 @@
             }
             return;
         }
-        if raft.to == self.me.replica {
+        if raft.to == self.identity.replica {
             self.replica.step(now, raft);
             return;
         }
@@ -246,8 +246,8 @@
     }
 
     pub(super) fn instance_of(&self, replica: u64) -> Option<InstanceId> {
-        if replica == self.me.replica {
-            return Some(self.me.id);
+        if replica == self.identity.replica {
+            return Some(self.identity.id);
         }
         self.peers
             .values()
@@ -255,7 +255,7 @@
             .map(|k| k.peer.id)
     }
 
-    pub(super) fn take_call(&mut self, now: Moment, from: InstanceId, call: &Call) {
+    pub(super) fn handle_call(&mut self, now: Moment, from: InstanceId, call: &Call) {
         let origin = Origin::Peer(from, call.id);
         match postcard::from_bytes::<Query>(&call.body) {
             Ok(query) => self.handle(now, origin, query),
@@ -266,7 +266,7 @@
         }
     }
 
-    pub(super) fn take_return(&mut self, now: Moment, ret: &Return) {
+    pub(super) fn handle_return(&mut self, now: Moment, ret: &Return) {
         let Some(pending) = self.calls.remove(&ret.id) else {
             return;
         };
@@ -278,7 +278,7 @@
     pub(super) fn answer(&mut self, now: Moment, origin: Origin, answer: Answer) {
         match origin {
             Origin::Local(call) if claims::is_internal(call) => {
-                self.take_internal(now, call, &answer);
+                self.handle_internal_answer(now, call, &answer);
             }
             Origin::Local(call) => self.effects.push(Effect::Reply(call, answer)),
             Origin::Peer(id, call) => {
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -34,7 +34,7 @@
     /// Handle an upstream's heartbeat.
     Announce(Heartbeat),
     /// Handle a zone's report of its demand for units of team limits.
-    Wants(super::root::ZoneWants),
+    Demand(super::root::ZoneDemand),
     /// Return units of team limits from the zone to the pool.
     Return(Vec<(String, u64)>),
     /// Confirm that the zone leader has applied the log up to this index.
@@ -169,20 +169,20 @@
         if let Query::Propose(Command::WithdrawKey { id }) = &query {
             // The revocation takes effect here and is sent to all peers before it is
             // committed.
-            self.take_withdrawn(vec![id.clone()]);
+            self.handle_withdrawn(vec![id.clone()]);
         }
         self.route(now, origin, target, query);
     }
 
     pub(super) fn route(&mut self, now: Moment, origin: Origin, target: &Target, query: Query) {
         let to = match target {
-            Target::Here => Some(self.me.id),
+            Target::Here => Some(self.identity.id),
             Target::Root => self.root_leader(),
             Target::Zone(zone) => self.zone_leader(zone),
             Target::Instance(id) => Some(*id),
         };
         match to {
-            Some(id) if id == self.me.id => self.handle(now, origin, query),
+            Some(id) if id == self.identity.id => self.handle(now, origin, query),
             Some(id) if self.peers.contains_key(&id) => self.forward(now, id, origin, &query),
             _ => {
                 let message = match target {
@@ -201,16 +201,16 @@
     pub(super) fn handle(&mut self, now: Moment, origin: Origin, query: Query) {
         match query {
             Query::Propose(command) => self.propose(now, origin, &command, None),
-            Query::Announce(beat) => {
-                let answer = self.announce(now, &beat);
+            Query::Announce(heartbeat) => {
+                let answer = self.handle_heartbeat(now, &heartbeat);
                 self.answer(now, origin, answer);
             }
-            Query::Wants(wants) => {
-                let answer = self.take_wants(now, &wants);
+            Query::Demand(zone_demand) => {
+                let answer = self.handle_zone_demand(now, &zone_demand);
                 self.answer(now, origin, answer);
             }
             Query::Return(recalls) => {
-                self.take_recalls(now, &recalls);
+                self.handle_recalls(now, &recalls);
                 self.answer(now, origin, Answer::Done);
             }
             Query::Applied(at) => {
@@ -225,17 +225,17 @@
                 let history = self.registry.history.iter().cloned().collect();
                 self.answer(now, origin, Answer::History(history));
             }
-            Query::Claim(attempt) => self.take_claim(now, origin, &attempt),
-            Query::Settle(settlement) => self.take_settlement(now, origin, settlement),
+            Query::Claim(attempt) => self.handle_claim(now, origin, &attempt),
+            Query::Settle(settlement) => self.handle_settlement(now, origin, settlement),
             Query::Copy(batch) => {
-                self.take_copies(now, batch);
+                self.store_copies(now, batch);
                 self.answer(now, origin, Answer::Done);
             }
             Query::Fetch(zone) => {
                 let batch = self.copies_of(now, &zone);
                 self.answer(now, origin, Answer::Copies(batch));
             }
-            Query::Poll(poll) => self.take_poll(now, origin, &poll),
+            Query::Poll(poll) => self.handle_poll(now, origin, &poll),
             Query::Admit(spec) => {
                 let answer = self.admit(now, &spec);
                 self.answer(now, origin, answer);
@@ -261,18 +261,18 @@
         now: Moment,
         origin: Origin,
         command: &Command,
-        naming: Option<String>,
+        appointed_zone: Option<String>,
     ) {
         let body = postcard::to_allocvec(command).expect("command encodes");
         match self.replica.propose(body.into()) {
             Ok(index) => {
                 let term = self.replica.term();
-                let origin = (origin != super::root::NOBODY).then_some(origin);
-                self.proposals.insert(index, (term, origin, naming));
+                let origin = (origin != super::root::NO_REPLY).then_some(origin);
+                self.proposals.insert(index, (term, origin, appointed_zone));
             }
             Err(err) => {
-                if let Some(zone) = naming {
-                    self.register.end_naming(&zone);
+                if let Some(zone) = appointed_zone {
+                    self.lease_grants.end_appointment(&zone);
                 }
                 let err = Error::new(Kind::NoQuorum, err.to_string());
                 self.answer(now, origin, Answer::Failed(err));
@@ -284,15 +284,15 @@
         let gate = self.gate.lock().expect("gate lock");
         let leader = self.root_leader();
         let name_of = |id: InstanceId| {
-            if id == self.me.id {
-                return Some(self.me.name.clone());
+            if id == self.identity.id {
+                return Some(self.identity.name.clone());
             }
             self.peers.get(&id).map(|k| k.peer.name.clone())
         };
         Status {
-            id: self.me.id,
-            name: self.me.name.clone(),
-            zone: self.me.zone.clone(),
+            id: self.identity.id,
+            name: self.identity.name.clone(),
+            zone: self.identity.zone.clone(),
             version: self.registry.version,
             applied: self.registry.applied,
             fresh_ms: self.fresh.age(now).map(|age| age.as_millis() as u64),
--- a/src/core/control/root.rs
+++ b/src/core/control/root.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Answer, Control, Effect, Origin, Query, Target};
-use crate::core::lease::TERM;
+use crate::core::lease::LEASE_DURATION;
 use crate::core::registry::{Command, InstanceId, Member, Transfer};
 use crate::core::share::{Claim, targets};
 use crate::core::time::{Moment, with_clock_margin};
@@ -16,16 +16,16 @@
 use crate::wire::{Body, LeaseReply, LeaseRequest, Voter};
 
 /// Origin of calls and proposals whose answer is discarded.
-pub const NOBODY: Origin = Origin::Local(u64::MAX);
+pub const NO_REPLY: Origin = Origin::Local(u64::MAX);
 /// Age at which a zone's reported demand expires. A zone repeats its complete
 /// demand every 4 s, so single lost reports do not expire it.
-const WANTS_AGE_MAX: Duration = Duration::from_secs(12);
+const DEMAND_AGE_MAX: Duration = Duration::from_secs(12);
 /// Maximum lag in log entries at which a spare may become a voter.
-const CAUGHT_UP_LAG: u64 = 64;
+const CAUGHT_UP_LAG_ENTRIES: u64 = 64;
 
 /// Demand of one team in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct TeamDemand {
     /// Name of the team.
     pub team: String,
     /// Units that the team could use now.
@@ -36,18 +36,18 @@
 
 /// Demands of all teams in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneWants {
+pub struct ZoneDemand {
     /// Name of the zone.
     pub zone: String,
     /// Term of the zone's leadership.
     pub term: u64,
     /// Teams whose demand has changed, or periodically all teams.
-    pub wants: Vec<Want>,
+    pub teams: Vec<TeamDemand>,
 }
 
 /// Latest demand of a team in a zone that was reported to the root leader.
 #[derive(Clone, Copy, Debug)]
-pub struct Demanded {
+pub struct RecordedDemand {
     units: u64,
     at: Moment,
 }
@@ -56,14 +56,14 @@
     pub(super) fn tick_root(&mut self, now: Moment) {
         let term = self.replica.is_leader().then(|| self.replica.term());
         if term != self.root_term {
-            self.change_root(now, term);
+            self.handle_root_change(now, term);
         }
         if term.is_some() && self.replica.is_leased(now) {
             self.replace_voters(now);
         }
     }
 
-    fn change_root(&mut self, now: Moment, term: Option<u64>) {
+    fn handle_root_change(&mut self, now: Moment, term: Option<u64>) {
         let event = match (term, self.root_term) {
             (Some(term), _) => Event::RootLed { term },
             (None, Some(term)) => Event::RootLost { term },
@@ -71,8 +71,8 @@
         };
         self.effects.push(Effect::Event(event));
         self.root_term = term;
-        self.register.clear();
-        self.wants.clear();
+        self.lease_grants.clear();
+        self.demands.clear();
         if term.is_none() {
             let proposals = std::mem::take(&mut self.proposals);
             for (_, origin, _) in proposals.into_values() {
@@ -88,12 +88,12 @@
     // the lost voter is removed.
     fn replace_voters(&mut self, now: Moment) {
         let voters = self.replica.voters().to_vec();
-        let wanted = self.me.founders.len().max(1);
+        let wanted = self.identity.founders.len().max(1);
         let is_lost = |v: &Voter| {
             self.replica
                 .progress()
                 .find(|(id, _)| *id == v.replica)
-                .is_some_and(|(_, p)| now.since(p.heard_at) > self.me.replace_after)
+                .is_some_and(|(_, p)| now.since(p.heard_at) > self.identity.replace_after)
         };
         let lost = voters.iter().find(|v| is_lost(v)).cloned();
         let Some(lost) = lost else {
@@ -109,7 +109,10 @@
                 .filter(|(id, p)| {
                     let is_voter = voters.iter().any(|v| v.replica == *id);
                     let is_recent = now.since(p.heard_at) < super::PEER_SILENCE_MAX;
-                    !is_voter && p.durable && is_recent && p.matched + CAUGHT_UP_LAG >= commit
+                    !is_voter
+                        && p.durable
+                        && is_recent
+                        && p.matched + CAUGHT_UP_LAG_ENTRIES >= commit
                 })
                 .map(|(id, p)| (self.zone_of_replica(id), id, p.name.clone()))
                 .min_by_key(|(zone, id, _)| {
@@ -132,8 +135,8 @@
     }
 
     fn zone_of_replica(&self, replica: u64) -> Option<String> {
-        if replica == self.me.replica {
-            return Some(self.me.zone.clone());
+        if replica == self.identity.replica {
+            return Some(self.identity.zone.clone());
         }
         self.peers
             .values()
@@ -141,7 +144,7 @@
             .map(|k| k.peer.zone.clone())
     }
 
-    pub(super) fn take_lease_request(
+    pub(super) fn handle_lease_request(
         &mut self,
         now: Moment,
         from: InstanceId,
@@ -151,22 +154,22 @@
             return;
         }
         if request.campaign {
-            self.take_campaign(now, from, request);
+            self.handle_campaign(now, from, request);
             return;
         }
-        let led = self.registry.zones.get(&request.zone).cloned();
-        let granted = self
-            .register
-            .renew(now, &request.zone, led.as_ref(), from, request.term);
+        let leadership = self.registry.zones.get(&request.zone).cloned();
+        let granted =
+            self.lease_grants
+                .renew(now, &request.zone, leadership.as_ref(), from, request.term);
         let reply = LeaseReply {
             zone: request.zone.clone(),
             term: request.term,
             sent_at: request.sent_at,
             granted,
         };
-        if from == self.me.id {
+        if from == self.identity.id {
             self.participant
-                .take_lease(reply.term, Moment(reply.sent_at), granted);
+                .handle_lease_reply(reply.term, Moment(reply.sent_at), granted);
         } else {
             self.send(from, Body::LeaseReply(reply));
         }
@@ -176,34 +179,39 @@
                 .iter()
                 .filter_map(|&id| self.member(InstanceId(id)))
                 .collect();
-            self.propose_lead(now, &request.zone, request.term, from, roster);
+            self.propose_leadership(now, &request.zone, request.term, from, roster);
         }
     }
 
-    fn take_campaign(&mut self, now: Moment, from: InstanceId, request: &LeaseRequest) {
+    fn handle_campaign(&mut self, now: Moment, from: InstanceId, request: &LeaseRequest) {
         let Some(candidate) = self.member(from) else {
             return;
         };
         let since = self.replica.leader_since().unwrap_or(now);
-        let led = self.registry.zones.get(&request.zone);
-        let may_name =
-            self.register
-                .may_name(now, since, &request.zone, led, &candidate, request.term);
-        if !may_name {
+        let leadership = self.registry.zones.get(&request.zone);
+        let may_appoint = self.lease_grants.may_appoint(
+            now,
+            since,
+            &request.zone,
+            leadership,
+            &candidate,
+            request.term,
+        );
+        if !may_appoint {
             return;
         }
-        self.name_leader(now, &request.zone, request.term, &candidate);
+        self.appoint_leader(now, &request.zone, request.term, &candidate);
     }
 
-    fn name_leader(&mut self, now: Moment, zone: &str, term: u64, candidate: &Member) {
+    fn appoint_leader(&mut self, now: Moment, zone: &str, term: u64, candidate: &Member) {
         let mut roster: Vec<Member> = self.members_of(zone);
         if !roster.iter().any(|m| m.id == candidate.id) {
             roster.push(candidate.clone());
         }
-        self.propose_lead(now, zone, term, candidate.id, roster);
+        self.propose_leadership(now, zone, term, candidate.id, roster);
     }
 
-    fn propose_lead(
+    fn propose_leadership(
         &mut self,
         now: Moment,
         zone: &str,
@@ -211,21 +219,21 @@
         leader: InstanceId,
         roster: Vec<Member>,
     ) {
-        self.register.begin_naming(zone);
+        self.lease_grants.begin_appointment(zone);
         let command = Command::Lead {
             zone: zone.to_owned(),
             seen_term,
             leader,
             roster,
         };
-        self.propose(now, NOBODY, &command, Some(zone.to_owned()));
+        self.propose(now, NO_REPLY, &command, Some(zone.to_owned()));
     }
 
     fn member(&self, id: InstanceId) -> Option<Member> {
-        if id == self.me.id {
+        if id == self.identity.id {
             return Some(Member {
                 id,
-                address: self.me.address.clone(),
+                address: self.identity.address.clone(),
             });
         }
         self.peers.get(&id).map(|k| Member {
@@ -235,7 +243,7 @@
     }
 
     fn members_of(&self, zone: &str) -> Vec<Member> {
-        let own = (self.me.zone == zone).then_some(self.me.id);
+        let own = (self.identity.zone == zone).then_some(self.identity.id);
         let peers = self
             .peers
             .values()
@@ -250,7 +258,7 @@
     /// Appoints a new leader for a zone on an operator's request, regardless of the
     /// current roster.
     pub(super) fn replace_zone(&mut self, now: Moment, origin: Origin, zone: &str) {
-        let Some(led) = self.registry.zones.get(zone).cloned() else {
+        let Some(leadership) = self.registry.zones.get(zone).cloned() else {
             let err = Error::new(Kind::NotFound, format!("no zone {zone}"));
             self.answer(now, origin, Answer::Failed(err));
             return;
@@ -266,7 +274,7 @@
             return;
         };
         let since = self.replica.leader_since().unwrap_or(now);
-        if !self.replica.is_leased(now) || now < since + with_clock_margin(TERM) {
+        if !self.replica.is_leased(now) || now < since + with_clock_margin(LEASE_DURATION) {
             let err = Error::new(
                 Kind::NoQuorum,
                 "the root leader has not established its lease; try again",
@@ -274,10 +282,10 @@
             self.answer(now, origin, Answer::Failed(err));
             return;
         }
-        self.register.begin_naming(zone);
+        self.lease_grants.begin_appointment(zone);
         let command = Command::Lead {
             zone: zone.to_owned(),
-            seen_term: led.term,
+            seen_term: leadership.term,
             leader: first.id,
             roster,
         };
@@ -286,7 +294,7 @@
 
     /// Records a zone's demand, proposes transfers of units to the zone and answers
     /// with the units that it should return.
-    pub(super) fn take_wants(&mut self, now: Moment, wants: &ZoneWants) -> Answer {
+    pub(super) fn handle_zone_demand(&mut self, now: Moment, zone_demand: &ZoneDemand) -> Answer {
         if !self.replica.is_leased(now) {
             return Answer::Failed(Error::new(
                 Kind::NoQuorum,
@@ -295,26 +303,26 @@
         }
         let mut transfers = Vec::new();
         let mut recalls = Vec::new();
-        let mut elsewhere: BTreeMap<String, Vec<(String, u64)>> = BTreeMap::new();
-        for want in &wants.wants {
-            let demanded = Demanded {
-                units: want.demand,
+        let mut recalls_by_zone: BTreeMap<String, Vec<(String, u64)>> = BTreeMap::new();
+        for team_demand in &zone_demand.teams {
+            let recorded = RecordedDemand {
+                units: team_demand.demand,
                 at: now,
             };
-            let key = (wants.zone.clone(), want.team.clone());
-            self.wants.insert(key, demanded);
-            self.divide_limit(now, wants, want, &mut transfers, &mut recalls);
-            for (zone, units) in self.surplus_elsewhere(now, wants, want) {
-                let recall = (want.team.clone(), units);
-                elsewhere.entry(zone).or_default().push(recall);
+            let key = (zone_demand.zone.clone(), team_demand.team.clone());
+            self.demands.insert(key, recorded);
+            self.divide_limit(now, zone_demand, team_demand, &mut transfers, &mut recalls);
+            for (zone, units) in self.surplus_of_other_zones(now, zone_demand, team_demand) {
+                let recall = (team_demand.team.clone(), units);
+                recalls_by_zone.entry(zone).or_default().push(recall);
             }
         }
-        for (zone, recalls) in elsewhere {
+        for (zone, recalls) in recalls_by_zone {
             let query = Query::Return(recalls);
-            self.route(now, NOBODY, &Target::Zone(zone), query);
+            self.route(now, NO_REPLY, &Target::Zone(zone), query);
         }
         if !transfers.is_empty() {
-            self.propose(now, NOBODY, &Command::Transfer(transfers), None);
+            self.propose(now, NO_REPLY, &Command::Transfer(transfers), None);
         }
         Answer::Recalls(recalls)
     }
@@ -322,71 +330,76 @@
     fn divide_limit(
         &self,
         now: Moment,
-        wants: &ZoneWants,
-        want: &Want,
+        zone_demand: &ZoneDemand,
+        team_demand: &TeamDemand,
         transfers: &mut Vec<Transfer>,
         recalls: &mut Vec<(String, u64)>,
     ) {
-        let Some(issuer) = self.registry.limits.get(&want.team) else {
+        let Some(issuer) = self.registry.limits.get(&team_demand.team) else {
             return;
         };
         let zones = &self.registry.zone_names;
-        let claims = self.claims_for(now, wants, want);
-        let Some(at) = self.registry.zone_index(&wants.zone) else {
+        let claimants = self.claimants_for(now, zone_demand, team_demand);
+        let Some(at) = self.registry.zone_index(&zone_demand.zone) else {
             return;
         };
-        let goal = targets(issuer.capacity(), &claims)[usize::from(at.0)];
+        let goal = targets(issuer.capacity(), &claimants)[usize::from(at.0)];
         let account = issuer.account(at);
-        let has = account
+        let balance = account
             .given
-            .saturating_sub(account.returned.max(want.returned));
-        let mut give = goal.saturating_sub(has).min(issuer.free());
+            .saturating_sub(account.returned.max(team_demand.returned));
+        let mut give = goal.saturating_sub(balance).min(issuer.free());
         // Without unmet demand, transfers below an eighth of the target are skipped
         // to save log entries.
-        let pressing = want.demand > has;
+        let pressing = team_demand.demand > balance;
         if !pressing && give * 8 < goal {
             give = 0;
         }
-        if give > 0 || want.returned > account.returned {
+        if give > 0 || team_demand.returned > account.returned {
             transfers.push(Transfer {
-                team: want.team.clone(),
-                zone: wants.zone.clone(),
-                term: wants.term,
+                team: team_demand.team.clone(),
+                zone: zone_demand.zone.clone(),
+                term: zone_demand.term,
                 give,
-                returned: want.returned,
+                returned: team_demand.returned,
             });
         }
-        let others_lack = zones.iter().zip(&claims).any(|(zone, claim)| {
+        let others_need_units = zones.iter().zip(&claimants).any(|(zone, claimant)| {
             let held = self
                 .registry
                 .zone_index(zone)
                 .map_or(0, |z| issuer.account(z).balance());
-            *zone != wants.zone && claim.demand > held
+            *zone != zone_demand.zone && claimant.demand > held
         });
         let is_new_zone = zones.len() > issuer.accounts().filter(|(_, a)| a.balance() > 0).count();
-        if has > goal && (others_lack || is_new_zone || issuer.excess() > 0) {
-            recalls.push((want.team.clone(), has - goal));
+        if balance > goal && (others_need_units || is_new_zone || issuer.excess() > 0) {
+            recalls.push((team_demand.team.clone(), balance - goal));
         }
     }
 
     // Units that other zones hold above their targets while this zone lacks units.
-    fn surplus_elsewhere(&self, now: Moment, wants: &ZoneWants, want: &Want) -> Vec<(String, u64)> {
+    fn surplus_of_other_zones(
+        &self,
+        now: Moment,
+        zone_demand: &ZoneDemand,
+        team_demand: &TeamDemand,
+    ) -> Vec<(String, u64)> {
         let zones = &self.registry.zone_names;
         let (Some(issuer), Some(at)) = (
-            self.registry.limits.get(&want.team),
-            self.registry.zone_index(&wants.zone),
+            self.registry.limits.get(&team_demand.team),
+            self.registry.zone_index(&zone_demand.zone),
         ) else {
             return Vec::new();
         };
-        if want.demand <= issuer.account(at).balance() || issuer.free() > 0 {
+        if team_demand.demand <= issuer.account(at).balance() || issuer.free() > 0 {
             return Vec::new();
         }
-        let claims = self.claims_for(now, wants, want);
-        let goals = targets(issuer.capacity(), &claims);
+        let claimants = self.claimants_for(now, zone_demand, team_demand);
+        let goals = targets(issuer.capacity(), &claimants);
         zones
             .iter()
             .zip(goals)
-            .filter(|(zone, _)| **zone != wants.zone)
+            .filter(|(zone, _)| **zone != zone_demand.zone)
             .filter_map(|(zone, goal)| {
                 let held = issuer.account(self.registry.zone_index(zone)?).balance();
                 (held > goal).then(|| (zone.clone(), held - goal))
@@ -394,25 +407,30 @@
             .collect()
     }
 
-    fn claims_for(&self, now: Moment, wants: &ZoneWants, want: &Want) -> Vec<Claim> {
+    fn claimants_for(
+        &self,
+        now: Moment,
+        zone_demand: &ZoneDemand,
+        team_demand: &TeamDemand,
+    ) -> Vec<Claim> {
         let zones = self.registry.zone_names.iter();
         zones
             .map(|zone| Claim {
                 weight: 1,
-                demand: if *zone == wants.zone {
-                    want.demand
+                demand: if *zone == zone_demand.zone {
+                    team_demand.demand
                 } else {
-                    self.demand_in(now, zone, &want.team)
+                    self.recorded_demand(now, zone, &team_demand.team)
                 },
                 standing: true,
             })
             .collect()
     }
 
-    fn demand_in(&self, now: Moment, zone: &str, team: &str) -> u64 {
-        self.wants
+    fn recorded_demand(&self, now: Moment, zone: &str, team: &str) -> u64 {
+        self.demands
             .get(&(zone.to_owned(), team.to_owned()))
-            .filter(|demanded| now.since(demanded.at) < WANTS_AGE_MAX)
-            .map_or(0, |demanded| demanded.units)
+            .filter(|recorded| now.since(recorded.at) < DEMAND_AGE_MAX)
+            .map_or(0, |recorded| recorded.units)
     }
 }
--- a/src/core/control/tasks.rs
+++ b/src/core/control/tasks.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::root::NOBODY;
+use super::root::NO_REPLY;
 use super::{Answer, Control, Effect, Origin, Pending, Query, Target};
 use crate::core::fleet::{Fleet, POLL_WAIT_MAX, Poll};
 use crate::core::job::{Ended, Id, Spec, State};
@@ -17,9 +17,9 @@
 /// Interval at which ended tasks are proposed until they are in the registry.
 const ENDS_EVERY: Duration = Duration::from_secs(1);
 /// Maximum number of ended tasks in one command.
-const ENDS_MAX: usize = 2_000;
+const ENDS_PER_COMMAND_MAX: usize = 2_000;
 /// Maximum number of jobs in one list.
-const LIST_MAX: usize = 1_000;
+const LISTED_JOBS_MAX: usize = 1_000;
 
 /// Summary of a job in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
             return;
         };
         fleet.tick(now);
-        self.collect(now);
+        self.propose_ended(now);
         self.answer_polls(now);
     }
 
@@ -62,11 +62,11 @@
         let Some(fleet) = &mut self.fleet else {
             return;
         };
-        if changes == self.jobs_seen {
+        if changes == self.synced_job_changes {
             return;
         }
-        self.jobs_seen = changes;
-        let zone = &self.me.zone;
+        self.synced_job_changes = changes;
+        let zone = &self.identity.zone;
         for job in self.registry.jobs.open().filter(|job| job.zone == *zone) {
             fleet.add_job(now, job);
         }
@@ -81,7 +81,7 @@
             }
         }
         let jobs = &self.registry.jobs;
-        self.ends.retain(|task, _| {
+        self.unconfirmed_ends.retain(|task, _| {
             let is_open = jobs
                 .get(task.job)
                 .is_some_and(|job| job.state == State::Open && !job.has_ended(task.index));
@@ -109,7 +109,7 @@
         }
     }
 
-    fn collect(&mut self, now: Moment) {
+    fn propose_ended(&mut self, now: Moment) {
         let (Some(allocator), Some(fleet)) = (&mut self.allocator, &mut self.fleet) else {
             return;
         };
@@ -119,24 +119,25 @@
         let new = fleet.take_ended();
         let events = fleet.take_events();
         self.effects.extend(events.into_iter().map(Effect::Event));
-        let repeat = now >= self.ends_at;
+        let repeat = now >= self.next_ends_at;
         let mut batch: Vec<Ended> = new.clone();
         if repeat {
-            self.ends_at = now + ENDS_EVERY;
-            batch.extend(self.ends.values().cloned());
+            self.next_ends_at = now + ENDS_EVERY;
+            batch.extend(self.unconfirmed_ends.values().cloned());
         }
-        self.ends.extend(new.into_iter().map(|end| (end.task, end)));
-        for part in batch.chunks(ENDS_MAX) {
+        self.unconfirmed_ends
+            .extend(new.into_iter().map(|end| (end.task, end)));
+        for part in batch.chunks(ENDS_PER_COMMAND_MAX) {
             let query = Query::Propose(Command::End(part.to_vec()));
-            self.route(now, NOBODY, &Target::Root, query);
+            self.route(now, NO_REPLY, &Target::Root, query);
         }
     }
 
-    pub(super) fn take_poll(&mut self, now: Moment, origin: Origin, poll: &Poll) {
+    pub(super) fn handle_poll(&mut self, now: Moment, origin: Origin, poll: &Poll) {
         // A new leader's scheduler must know the jobs before it handles a poll: the end of
         // an unknown task is acknowledged without being recorded, and would be lost.
         self.sync_jobs(now);
-        let refused = if !self.participant.may_act(now) || poll.zone != self.me.zone {
+        let refused = if !self.participant.may_act(now) || poll.zone != self.identity.zone {
             let message = "this instance is not the leader of the worker's zone";
             Some(Error::new(Kind::NoQuorum, message))
         } else {
@@ -151,9 +152,9 @@
         }
         let wait = Duration::from_millis(poll.wait_ms).min(POLL_WAIT_MAX);
         let until = now + wait;
-        let to = self.me.id;
+        let to = self.identity.id;
         let pending = Pending { to, origin, until };
-        if let Some(old) = self.polls.insert(poll.name.clone(), pending) {
+        if let Some(old) = self.waiting_polls.insert(poll.name.clone(), pending) {
             let err = Error::new(
                 Kind::BadAnnouncement,
                 "superseded by a newer poll of the same worker",
@@ -170,7 +171,7 @@
             return;
         };
         let mut due = fleet.take_woken();
-        let waiting = self.polls.iter().filter(|(_, p)| now >= p.until);
+        let waiting = self.waiting_polls.iter().filter(|(_, p)| now >= p.until);
         due.extend(waiting.map(|(name, _)| name.clone()));
         for name in due {
             self.answer_poll(now, &name);
@@ -178,19 +179,19 @@
     }
 
     fn answer_poll(&mut self, now: Moment, name: &str) {
-        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.polls.get(name)) else {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.waiting_polls.get(name)) else {
             return;
         };
         let (origin, force) = (pending.origin, now >= pending.until);
         if let Some(orders) = fleet.orders(now, name, force) {
-            self.polls.remove(name);
+            self.waiting_polls.remove(name);
             self.answer(now, origin, Answer::Orders(Box::new(orders)));
         }
     }
 
     /// Answers all waiting polls immediately before a planned stop.
     pub(super) fn release_polls(&mut self, now: Moment) {
-        for pending in self.polls.values_mut() {
+        for pending in self.waiting_polls.values_mut() {
             pending.until = now;
         }
         self.answer_polls(now);
@@ -200,8 +201,8 @@
     /// zone.
     pub(super) fn close_fleet(&mut self, now: Moment) {
         self.fleet = None;
-        self.ends.clear();
-        for pending in std::mem::take(&mut self.polls).into_values() {
+        self.unconfirmed_ends.clear();
+        for pending in std::mem::take(&mut self.waiting_polls).into_values() {
             let err = Error::new(Kind::NoQuorum, "the zone has a new leader");
             self.answer(now, pending.origin, Answer::Failed(err));
         }
@@ -235,7 +236,7 @@
             .iter()
             .rev()
             .filter(|job| team.is_none_or(|team| team == job.team))
-            .take(LIST_MAX)
+            .take(LISTED_JOBS_MAX)
             .map(|job| JobLine {
                 id: job.id,
                 team: job.team.clone(),
--- a/src/core/control/zone.rs
+++ b/src/core/control/zone.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::root::{NOBODY, Want, ZoneWants};
+use super::root::{NO_REPLY, TeamDemand, ZoneDemand};
 use super::{Answer, Control, Effect, Origin, Query, Target};
 use crate::core::allocator::{Allocator, Heartbeat, Seen, UnitDemand};
 use crate::core::claim;
@@ -15,17 +15,17 @@
 use crate::wire::{Allotment, Body, LeaseReply, LeaseRequest, Report};
 
 /// Interval of a zone's demand reports to the root leader.
-const WANTS_EVERY: Duration = Duration::from_millis(500);
+const DEMAND_REPORT_EVERY: Duration = Duration::from_millis(500);
 /// Interval of demand reports while a team lacks units.
-const WANTS_PRESSING_EVERY: Duration = Duration::from_millis(100);
+const PRESSING_DEMAND_REPORT_EVERY: Duration = Duration::from_millis(100);
 /// Interval at which a zone reports the demand of all teams.
-const WANTS_ALL_EVERY: Duration = Duration::from_secs(4);
+const FULL_DEMAND_REPORT_EVERY: Duration = Duration::from_secs(4);
 /// Maximum age of the known root group state at which the root group counts as
 /// reachable.
 const ROOT_HEARD_MAX: Duration = Duration::from_millis(2_000);
 
-fn want_of(demand: &UnitDemand) -> Want {
-    Want {
+fn demand_of(demand: &UnitDemand) -> TeamDemand {
+    TeamDemand {
         team: demand.team.clone(),
         demand: demand.demand,
         returned: demand.returned,
@@ -41,14 +41,14 @@
         let peers: Vec<InstanceId> = self
             .peers
             .values()
-            .filter(|k| k.peer.zone == self.me.zone)
+            .filter(|k| k.peer.zone == self.identity.zone)
             .map(|k| k.peer.id)
             .collect();
         let root_heard = self.root_heard(now);
         for action in self.participant.tick(now, &peers, root_heard) {
-            self.act(now, action);
+            self.perform(now, action);
         }
-        self.settle_authority(now);
+        self.record_authority_change(now);
         if !self.participant.may_act(now) {
             return;
         }
@@ -58,12 +58,12 @@
         for (to, allotment) in allocator.tick(now) {
             self.send_allotment(now, to, allotment);
         }
-        self.report_wants(now);
+        self.report_demand(now);
     }
 
-    fn act(&mut self, now: Moment, action: Action) {
+    fn perform(&mut self, now: Moment, action: Action) {
         let mut request = LeaseRequest {
-            zone: self.me.zone.clone(),
+            zone: self.identity.zone.clone(),
             sent_at: now.0,
             ..LeaseRequest::default()
         };
@@ -95,19 +95,19 @@
 
     fn ask_root_lease(&mut self, now: Moment, request: LeaseRequest) {
         match self.root_leader() {
-            Some(id) if id == self.me.id => self.take_lease_request(now, id, &request),
+            Some(id) if id == self.identity.id => self.handle_lease_request(now, id, &request),
             Some(id) => self.send(id, Body::LeaseRequest(request)),
             None => {}
         }
     }
 
-    pub(super) fn take_promise_request(
+    pub(super) fn handle_promise_request(
         &mut self,
         now: Moment,
         from: InstanceId,
         request: &LeaseRequest,
     ) {
-        if request.zone != self.me.zone {
+        if request.zone != self.identity.zone {
             return;
         }
         let root_heard = self.root_heard(now);
@@ -124,35 +124,46 @@
     }
 
     pub(super) fn observe_leadership(&mut self, now: Moment) {
-        let led = self.registry.zones.get(&self.me.zone).cloned();
-        let before = self.participant.led().cloned();
-        self.participant.observe(now, led.as_ref());
-        let Some(led) = led else {
+        let leadership = self.registry.zones.get(&self.identity.zone).cloned();
+        let before = self.participant.leadership().cloned();
+        self.participant.observe(now, leadership.as_ref());
+        let Some(leadership) = leadership else {
             return;
         };
-        if before.as_ref().is_some_and(|old| old.term == led.term) {
+        if before
+            .as_ref()
+            .is_some_and(|old| old.term == leadership.term)
+        {
             self.sync_units();
             return;
         }
-        let stays = before.as_ref().is_some_and(|old| old.leader == led.leader);
-        if led.leader == self.me.id && !stays {
-            let first = led.term == 1;
-            let run_limit = self.longest_run();
-            let allocator = Allocator::new(self.me.zone.clone(), led.term, first, now, run_limit);
+        let stays = before
+            .as_ref()
+            .is_some_and(|old| old.leader == leadership.leader);
+        if leadership.leader == self.identity.id && !stays {
+            let first = leadership.term == 1;
+            let run_limit = self.longest_run_limit();
+            let allocator = Allocator::new(
+                self.identity.zone.clone(),
+                leadership.term,
+                first,
+                now,
+                run_limit,
+            );
             self.allocator = Some(allocator);
-            self.fleet = Some(Fleet::new(led.term, first, now));
-            self.jobs_seen = u64::MAX;
+            self.fleet = Some(Fleet::new(leadership.term, first, now));
+            self.synced_job_changes = u64::MAX;
             self.recover_claims(now, before.as_ref());
-        } else if led.leader != self.me.id {
+        } else if leadership.leader != self.identity.id {
             self.allocator = None;
             self.close_fleet(now);
         } else if let Some(allocator) = &mut self.allocator {
-            allocator.set_term(led.term);
+            allocator.set_term(leadership.term);
         }
         self.sync_units();
     }
 
-    fn longest_run(&self) -> Duration {
+    fn longest_run_limit(&self) -> Duration {
         let services = self.registry.config.services.values();
         services
             .map(|s| s.run_limit)
@@ -161,8 +172,8 @@
     }
 
     fn sync_units(&mut self) {
-        let run_limit = self.longest_run();
-        let zone = self.registry.zone_index(&self.me.zone);
+        let run_limit = self.longest_run_limit();
+        let zone = self.registry.zone_index(&self.identity.zone);
         let (Some(allocator), Some(zone)) = (&mut self.allocator, zone) else {
             return;
         };
@@ -177,13 +188,13 @@
         }
     }
 
-    fn settle_authority(&mut self, now: Moment) {
+    fn record_authority_change(&mut self, now: Moment) {
         let may_act = self.participant.may_act(now);
-        if may_act == self.acting {
+        if may_act == self.had_authority {
             return;
         }
-        self.acting = may_act;
-        let zone = self.me.zone.clone();
+        self.had_authority = may_act;
+        let zone = self.identity.zone.clone();
         let term = self.participant.term();
         let event = if may_act {
             Event::ZoneLed { zone, term }
@@ -193,8 +204,8 @@
         self.effects.push(Effect::Event(event));
     }
 
-    fn report_wants(&mut self, now: Moment) {
-        if now < self.wants_at {
+    fn report_demand(&mut self, now: Moment) {
+        if now < self.next_report_at {
             return;
         }
         let Some(allocator) = &mut self.allocator else {
@@ -207,35 +218,35 @@
         let demands = allocator.unit_demands();
         let is_pressing = |d: &UnitDemand| d.demand > d.capacity;
         let every = if demands.iter().any(is_pressing) {
-            WANTS_PRESSING_EVERY
+            PRESSING_DEMAND_REPORT_EVERY
         } else {
-            WANTS_EVERY
+            DEMAND_REPORT_EVERY
         };
-        self.wants_at = now + every;
-        let all = now.since(self.told_at) >= WANTS_ALL_EVERY;
+        self.next_report_at = now + every;
+        let all = now.since(self.full_report_at) >= FULL_DEMAND_REPORT_EVERY;
         if all {
-            self.told_at = now;
+            self.full_report_at = now;
         }
         let demands: Vec<UnitDemand> = demands
             .into_iter()
-            .filter(|d| all || is_pressing(d) || self.told.get(&d.team) != Some(&want_of(d)))
+            .filter(|d| all || is_pressing(d) || self.reported.get(&d.team) != Some(&demand_of(d)))
             .collect();
         for demand in &demands {
-            self.told.insert(demand.team.clone(), want_of(demand));
+            self.reported.insert(demand.team.clone(), demand_of(demand));
         }
         if demands.is_empty() {
             return;
         }
-        let wants = ZoneWants {
-            zone: self.me.zone.clone(),
+        let zone_demand = ZoneDemand {
+            zone: self.identity.zone.clone(),
             term: allocator.term(),
-            wants: demands.iter().map(want_of).collect(),
+            teams: demands.iter().map(demand_of).collect(),
         };
-        let origin = Origin::Local(super::claims::WANTS_CALL);
-        self.route(now, origin, &Target::Root, Query::Wants(wants));
+        let origin = Origin::Local(super::claims::DEMAND_CALL);
+        self.route(now, origin, &Target::Root, Query::Demand(zone_demand));
     }
 
-    pub(super) fn take_recalls(&mut self, now: Moment, recalls: &[(String, u64)]) {
+    pub(super) fn handle_recalls(&mut self, now: Moment, recalls: &[(String, u64)]) {
         if !self.participant.may_act(now) {
             return;
         }
@@ -245,10 +256,10 @@
         for (team, units) in recalls {
             allocator.recall(now, team, *units);
         }
-        self.wants_at = now;
+        self.next_report_at = now;
     }
 
-    pub(super) fn announce(&mut self, now: Moment, beat: &Heartbeat) -> Answer {
+    pub(super) fn handle_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) -> Answer {
         if !self.participant.may_act(now) {
             let message = "this instance is not the leader of its zone";
             return Answer::Failed(Error::new(Kind::NoQuorum, message));
@@ -257,7 +268,7 @@
             return Answer::Failed(Error::from(Kind::NoQuorum));
         };
         let term = allocator.term();
-        match allocator.announce(now, beat) {
+        match allocator.announce(now, heartbeat) {
             Ok(events) => {
                 self.effects.extend(events.into_iter().map(Effect::Event));
                 Answer::Heard(Seen { term, at: now })
@@ -274,8 +285,8 @@
         }
     }
 
-    pub(super) fn take_report(&mut self, now: Moment, from: InstanceId, report: &Report) {
-        if report.zone != self.me.zone || !self.participant.may_act(now) {
+    pub(super) fn handle_report(&mut self, now: Moment, from: InstanceId, report: &Report) {
+        if report.zone != self.identity.zone || !self.participant.may_act(now) {
             return;
         }
         let Some(allocator) = &mut self.allocator else {
@@ -287,35 +298,40 @@
 
     fn send_allotment(&mut self, now: Moment, to: InstanceId, mut allotment: Allotment) {
         allotment.applied = self.registry.applied;
-        if to == self.me.id {
-            self.take_allotment(now, to, &allotment);
+        if to == self.identity.id {
+            self.handle_allotment(now, to, &allotment);
         } else {
             self.send(to, Body::Allotment(allotment));
         }
     }
 
-    pub(super) fn take_allotment(&mut self, now: Moment, from: InstanceId, allotment: &Allotment) {
+    pub(super) fn handle_allotment(
+        &mut self,
+        now: Moment,
+        from: InstanceId,
+        allotment: &Allotment,
+    ) {
         if self.zone_leader(&allotment.zone) != Some(from) {
             return;
         }
         let mut gate = self.gate.lock().expect("gate lock");
-        self.agent.take(&mut gate, now, allotment);
+        self.agent.apply_allotment(&mut gate, now, allotment);
         drop(gate);
         self.effects.push(Effect::Publish);
     }
 
-    pub(super) fn take_internal(&mut self, now: Moment, call: u64, answer: &Answer) {
-        if Origin::Local(call) == NOBODY {
+    pub(super) fn handle_internal_answer(&mut self, now: Moment, call: u64, answer: &Answer) {
+        if Origin::Local(call) == NO_REPLY {
             return;
         }
-        if call == super::claims::WANTS_CALL {
+        if call == super::claims::DEMAND_CALL {
             if let Answer::Recalls(recalls) = answer {
                 let recalls = recalls.clone();
-                self.take_recalls(now, &recalls);
+                self.handle_recalls(now, &recalls);
             }
             return;
         }
-        self.take_claims_answer(now, call, answer);
+        self.handle_claims_answer(now, call, answer);
     }
 
     pub(super) fn claims_of(&mut self, zone: &str) -> &mut claim::Table {
--- a/src/core/freshness.rs
+++ b/src/core/freshness.rs
@@ -5,7 +5,7 @@
 use crate::core::time::Moment;
 
 /// Maximum number of statements that wait until the log has been applied.
-const PENDING_MAX: usize = 32;
+const PENDING_STATEMENTS_MAX: usize = 32;
 
 /// Tracks the latest moment for which all commits are known to be applied here.
 #[derive(Debug, Default)]
@@ -16,19 +16,19 @@
 
 impl Tracker {
     /// Records the statement that nothing after `index` was committed at `as_of`.
-    pub fn hear(&mut self, as_of: Moment, index: u64, applied: u64) {
+    pub fn record(&mut self, as_of: Moment, index: u64, applied: u64) {
         if index <= applied {
             self.as_of = self.as_of.max(Some(as_of));
             return;
         }
-        if self.pending.len() == PENDING_MAX {
+        if self.pending.len() == PENDING_STATEMENTS_MAX {
             self.pending.remove(0);
         }
         self.pending.push((as_of, index));
     }
 
     /// Records that the log has been applied up to index `applied`.
-    pub fn apply(&mut self, applied: u64) {
+    pub fn advance(&mut self, applied: u64) {
         let ready = self.pending.iter().filter(|(_, index)| *index <= applied);
         let newest = ready.map(|&(as_of, _)| as_of).max();
         self.as_of = self.as_of.max(newest);
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -10,7 +10,7 @@
 use crate::error::{Error, Kind};
 
 /// Maximum number of ended jobs that are kept.
-const ENDED_MAX: usize = 5_000;
+const ENDED_JOBS_MAX: usize = 5_000;
 /// Maximum number of tasks in one job.
 pub const TASKS_MAX: u32 = 20_000;
 
@@ -354,7 +354,7 @@
 
     fn retire(&mut self, id: Id) {
         self.ended.push_back(id);
-        while self.ended.len() > ENDED_MAX {
+        while self.ended.len() > ENDED_JOBS_MAX {
             let oldest = self.ended.pop_front().expect("not empty");
             if let Some(job) = self.jobs.remove(&oldest)
                 && !job.request.is_empty()
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -13,12 +13,12 @@
 use crate::core::time::{Moment, with_clock_margin};
 
 /// Duration of a lease or promise, measured on the holder's clock.
-pub const TERM: Duration = Duration::from_millis(1_200);
+pub const LEASE_DURATION: Duration = Duration::from_millis(1_200);
 /// Interval at which a leader renews its lease and the promises of its roster.
 pub const RENEW_EVERY: Duration = Duration::from_millis(300);
 /// Time without authority after which members that reach the root group stop
 /// making promises to a leader, so that one of them can become a candidate.
-const UNLED_MAX: Duration = Duration::from_secs(3);
+const AUTHORITY_GAP_MAX: Duration = Duration::from_secs(3);
 /// Silence after which the leader removes a member from its roster.
 const ROSTER_SILENCE_MAX: Duration = Duration::from_secs(10);
 
@@ -51,82 +51,84 @@
 /// State of one instance in the leader election of its zone.
 #[derive(Debug)]
 pub struct Participant {
-    me: Member,
-    led: Option<Leadership>,
+    member: Member,
+    leadership: Option<Leadership>,
     started: Moment,
-    root_until: Moment,
+    root_lease_until: Moment,
     promises: BTreeMap<InstanceId, Moment>,
     joining: BTreeSet<InstanceId>,
-    heard: BTreeMap<InstanceId, Moment>,
+    last_heard: BTreeMap<InstanceId, Moment>,
     promised_until: Moment,
     refused_term: Option<u64>,
-    authority_heard: Moment,
+    authority_heard_at: Moment,
     roster_disputed: bool,
-    act_at: Moment,
+    next_action_at: Moment,
     resigned: bool,
 }
 
 impl Participant {
     /// Creates the state of an instance that starts at `now`. Promises made before
     /// a restart are not stored.
-    pub const fn new(me: Member, now: Moment) -> Self {
+    pub const fn new(member: Member, now: Moment) -> Self {
         Self {
-            me,
-            led: None,
+            member,
+            leadership: None,
             started: now,
-            root_until: Moment::ZERO,
+            root_lease_until: Moment::ZERO,
             promises: BTreeMap::new(),
             joining: BTreeSet::new(),
-            heard: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             promised_until: Moment::ZERO,
             refused_term: None,
-            authority_heard: now,
+            authority_heard_at: now,
             roster_disputed: false,
-            act_at: Moment::ZERO,
+            next_action_at: Moment::ZERO,
             resigned: false,
         }
     }
 
     /// Returns the latest leadership known to this instance.
-    pub const fn led(&self) -> Option<&Leadership> {
-        self.led.as_ref()
+    pub const fn leadership(&self) -> Option<&Leadership> {
+        self.leadership.as_ref()
     }
 
     /// Returns the current term, or 0 before the first.
     pub fn term(&self) -> u64 {
-        self.led.as_ref().map_or(0, |led| led.term)
+        self.leadership
+            .as_ref()
+            .map_or(0, |leadership| leadership.term)
     }
 
     /// Returns whether this instance is the appointed leader.
     pub fn is_named(&self) -> bool {
-        self.led
+        self.leadership
             .as_ref()
-            .is_some_and(|led| led.leader == self.me.id)
+            .is_some_and(|leadership| leadership.leader == self.member.id)
     }
 
     /// Updates the leadership from the registry. Earlier terms are ignored.
-    pub fn observe(&mut self, now: Moment, led: Option<&Leadership>) {
-        let Some(led) = led else {
+    pub fn observe(&mut self, now: Moment, leadership: Option<&Leadership>) {
+        let Some(leadership) = leadership else {
             return;
         };
-        if led.term <= self.term() {
+        if leadership.term <= self.term() {
             return;
         }
         let keeps_leader = self
-            .led
+            .leadership
             .as_ref()
-            .is_some_and(|old| old.leader == led.leader);
+            .is_some_and(|old| old.leader == leadership.leader);
         if !keeps_leader {
             self.promises.clear();
             self.joining.clear();
-            self.root_until = Moment::ZERO;
+            self.root_lease_until = Moment::ZERO;
         }
         self.roster_disputed = false;
-        self.authority_heard = now;
+        self.authority_heard_at = now;
         self.joining
-            .retain(|id| !led.roster.iter().any(|m| m.id == *id));
-        self.led = Some(led.clone());
-        self.act_at = now;
+            .retain(|id| !leadership.roster.iter().any(|m| m.id == *id));
+        self.leadership = Some(leadership.clone());
+        self.next_action_at = now;
     }
 
     /// Returns whether this instance may act as leader at `now`.
@@ -139,18 +141,19 @@
         if !self.is_named() || self.resigned {
             return Moment::ZERO;
         }
-        self.root_until.max(self.promised_by_all_until())
+        self.root_lease_until.max(self.promises_until())
     }
 
-    fn promised_by_all_until(&self) -> Moment {
-        let Some(led) = &self.led else {
+    fn promises_until(&self) -> Moment {
+        let Some(leadership) = &self.leadership else {
             return Moment::ZERO;
         };
-        led.roster
+        leadership
+            .roster
             .iter()
             .map(|m| m.id)
             .chain(self.joining.iter().copied())
-            .filter(|id| *id != self.me.id)
+            .filter(|id| *id != self.member.id)
             .map(|id| self.promises.get(&id).copied().unwrap_or_default())
             .min()
             // No other member could become leader, so the authority does not expire.
@@ -163,17 +166,17 @@
     }
 
     /// Records a message from `peer` of this zone.
-    pub fn hear(&mut self, now: Moment, peer: InstanceId) {
-        self.heard.insert(peer, now);
+    pub fn record_message(&mut self, now: Moment, peer: InstanceId) {
+        self.last_heard.insert(peer, now);
     }
 
     /// Returns the requests due at `now`. `peers` are the connected peers of this
     /// zone; `root_heard` tells whether the state of the root group is recent.
     pub fn tick(&mut self, now: Moment, peers: &[InstanceId], root_heard: bool) -> Vec<Action> {
-        if now < self.act_at || self.resigned {
+        if now < self.next_action_at || self.resigned {
             return Vec::new();
         }
-        self.act_at = now + RENEW_EVERY;
+        self.next_action_at = now + RENEW_EVERY;
         if self.is_named() {
             return self.renew(now, peers);
         }
@@ -181,17 +184,19 @@
     }
 
     fn renew(&mut self, now: Moment, peers: &[InstanceId]) -> Vec<Action> {
-        let Some(led) = &self.led else {
+        let Some(leadership) = &self.leadership else {
             return Vec::new();
         };
-        let known: BTreeSet<InstanceId> = led.roster.iter().map(|m| m.id).collect();
+        let known: BTreeSet<InstanceId> = leadership.roster.iter().map(|m| m.id).collect();
         // A new member's promise is required from now on, before the root group
         // adds it to the roster and thereby allows its candidacy.
         self.joining
             .extend(peers.iter().filter(|id| !known.contains(id)));
         let is_silent = |id: &InstanceId| {
-            let heard = self.heard.get(id).copied().unwrap_or(self.started);
-            *id != self.me.id && !peers.contains(id) && now.since(heard) > ROSTER_SILENCE_MAX
+            let last_heard = self.last_heard.get(id).copied().unwrap_or(self.started);
+            *id != self.member.id
+                && !peers.contains(id)
+                && now.since(last_heard) > ROSTER_SILENCE_MAX
         };
         let wanted: Vec<InstanceId> = known
             .iter()
@@ -201,7 +206,7 @@
             .collect();
         let changed = wanted.iter().copied().collect::<BTreeSet<_>>() != known;
         let has_authority = now < self.authority_until();
-        let term = led.term;
+        let term = leadership.term;
         let mut actions = vec![Action::Renew {
             term,
             roster: if changed || self.roster_disputed {
@@ -213,7 +218,7 @@
         let others = known.iter().chain(&self.joining);
         actions.extend(
             others
-                .filter(|id| **id != self.me.id)
+                .filter(|id| **id != self.member.id)
                 .map(|&member| Action::Ask {
                     member,
                     term,
@@ -226,16 +231,16 @@
     fn maybe_campaign(&mut self, now: Moment, root_heard: bool) -> Vec<Action> {
         let term = self.term();
         // Promises made before a restart must have expired.
-        if now < self.started + with_clock_margin(TERM) {
+        if now < self.started + with_clock_margin(LEASE_DURATION) {
             return Vec::new();
         }
-        if let Some(led) = &self.led {
-            let is_member = led
+        if let Some(leadership) = &self.leadership {
+            let is_member = leadership
                 .roster
                 .iter()
-                .any(|m| m.id == self.me.id || m.address == self.me.address);
-            let waited =
-                now >= self.promised_until && now >= self.authority_heard + with_clock_margin(TERM);
+                .any(|m| m.id == self.member.id || m.address == self.member.address);
+            let waited = now >= self.promised_until
+                && now >= self.authority_heard_at + with_clock_margin(LEASE_DURATION);
             if !is_member || !waited || !root_heard {
                 return Vec::new();
             }
@@ -245,20 +250,26 @@
     }
 
     /// Handles the root group's reply to a renewal sent at `sent_at`.
-    pub fn take_lease(&mut self, term: u64, sent_at: Moment, granted: bool) {
+    pub fn handle_lease_reply(&mut self, term: u64, sent_at: Moment, granted: bool) {
         if granted && self.is_named() && term == self.term() {
-            self.root_until = self.root_until.max(sent_at + TERM);
+            self.root_lease_until = self.root_lease_until.max(sent_at + LEASE_DURATION);
         }
     }
 
     /// Handles a member's reply to a promise request sent at `sent_at`.
-    pub fn take_promise(&mut self, from: InstanceId, term: u64, sent_at: Moment, granted: bool) {
+    pub fn handle_promise_reply(
+        &mut self,
+        from: InstanceId,
+        term: u64,
+        sent_at: Moment,
+        granted: bool,
+    ) {
         if !self.is_named() || term != self.term() {
             return;
         }
         if granted {
             let until = self.promises.entry(from).or_default();
-            *until = (*until).max(sent_at + TERM);
+            *until = (*until).max(sent_at + LEASE_DURATION);
         } else {
             // A member that refused promises again only in a new term.
             self.roster_disputed = true;
@@ -278,68 +289,74 @@
         if term < self.term() || self.refused_term.is_some_and(|refused| term <= refused) {
             return false;
         }
-        if let Some(led) = &self.led
-            && term == led.term
-            && led.leader != from
+        if let Some(leadership) = &self.leadership
+            && term == leadership.term
+            && leadership.leader != from
         {
             return false;
         }
         if has_authority {
-            self.authority_heard = now;
+            self.authority_heard_at = now;
         }
-        if root_heard && now > self.authority_heard + UNLED_MAX {
+        if root_heard && now > self.authority_heard_at + AUTHORITY_GAP_MAX {
             return false;
         }
-        self.promised_until = self.promised_until.max(now + with_clock_margin(TERM));
+        self.promised_until = self
+            .promised_until
+            .max(now + with_clock_margin(LEASE_DURATION));
         true
     }
 }
 
 /// Leases granted by the root leader and appointments that it has proposed.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct Grants {
     until: BTreeMap<String, Moment>,
-    naming: BTreeSet<String>,
+    appointing: BTreeSet<String>,
 }
 
-impl Register {
+impl Grants {
     /// Decides whether to renew the lease of `from` in `term`.
     pub fn renew(
         &mut self,
         now: Moment,
         zone: &str,
-        led: Option<&Leadership>,
+        leadership: Option<&Leadership>,
         from: InstanceId,
         term: u64,
     ) -> bool {
-        let holds = led.is_some_and(|led| led.leader == from && led.term == term);
-        if !holds || self.naming.contains(zone) {
+        let holds = leadership
+            .is_some_and(|leadership| leadership.leader == from && leadership.term == term);
+        if !holds || self.appointing.contains(zone) {
             return false;
         }
         self.until
-            .insert(zone.to_owned(), now + with_clock_margin(TERM));
+            .insert(zone.to_owned(), now + with_clock_margin(LEASE_DURATION));
         true
     }
 
     /// Decides whether `candidate` may be appointed. The previous lease must have
     /// expired, and so must any lease granted by an earlier root leader before
     /// `since`, the start of this root leadership.
-    pub fn may_name(
+    pub fn may_appoint(
         &self,
         now: Moment,
         since: Moment,
         zone: &str,
-        led: Option<&Leadership>,
+        leadership: Option<&Leadership>,
         candidate: &Member,
         term: u64,
     ) -> bool {
         let until = self.until.get(zone).copied().unwrap_or_default();
-        if now < since + with_clock_margin(TERM) || now < until || self.naming.contains(zone) {
+        if now < since + with_clock_margin(LEASE_DURATION)
+            || now < until
+            || self.appointing.contains(zone)
+        {
             return false;
         }
-        led.is_none_or(|led| {
-            led.term == term
-                && led
+        leadership.is_none_or(|leadership| {
+            leadership.term == term
+                && leadership
                     .roster
                     .iter()
                     .any(|m| m.id == candidate.id || m.address == candidate.address)
@@ -347,18 +364,18 @@
     }
 
     /// Refuses renewals until the proposed appointment is decided.
-    pub fn begin_naming(&mut self, zone: &str) {
-        self.naming.insert(zone.to_owned());
+    pub fn begin_appointment(&mut self, zone: &str) {
+        self.appointing.insert(zone.to_owned());
     }
 
     /// Records that the proposed appointment is decided.
-    pub fn end_naming(&mut self, zone: &str) {
-        self.naming.remove(zone);
+    pub fn end_appointment(&mut self, zone: &str) {
+        self.appointing.remove(zone);
     }
 
     /// Clears all state when the root leadership begins or ends.
     pub fn clear(&mut self) {
         self.until.clear();
-        self.naming.clear();
+        self.appointing.clear();
     }
 }
--- a/src/core/registry.rs
+++ b/src/core/registry.rs
@@ -15,7 +15,7 @@
 use crate::error::{Error, Kind};
 
 /// Number of accepted pushes that are kept to recognise repeated ones.
-const HISTORY_MAX: usize = 1_000;
+const HISTORY_PUSHES_MAX: usize = 1_000;
 
 /// Identifies one process run of an instance. A restart gets a new ID.
 #[derive(
@@ -308,7 +308,7 @@
             digest,
             operator: operator.to_owned(),
         });
-        if self.history.len() > HISTORY_MAX {
+        if self.history.len() > HISTORY_PUSHES_MAX {
             self.history.pop_front();
         }
         self.sync_limits();
@@ -378,7 +378,7 @@
         leader: InstanceId,
         roster: &[Member],
     ) -> Outcome {
-        let term = self.zones.get(zone).map_or(0, |led| led.term);
+        let term = self.zones.get(zone).map_or(0, |leadership| leadership.term);
         if term != seen_term || !roster.iter().any(|m| m.id == leader) {
             let message = format!("zone {zone} is in term {term}");
             return Outcome::Refused(Error::new(Kind::VersionConflict, message));
@@ -386,13 +386,13 @@
         if self.zone_index(zone).is_none() {
             self.zone_names.push(zone.to_owned());
         }
-        let led = Leadership {
+        let leadership = Leadership {
             term: term + 1,
             leader,
             roster: roster.to_vec(),
         };
-        self.zones.insert(zone.to_owned(), led.clone());
-        Outcome::Led(led)
+        self.zones.insert(zone.to_owned(), leadership.clone());
+        Outcome::Led(leadership)
     }
 
     fn transfer(&mut self, transfers: &[Transfer]) -> Outcome {
@@ -403,7 +403,7 @@
             let in_term = self
                 .zones
                 .get(&transfer.zone)
-                .is_some_and(|led| led.term == transfer.term);
+                .is_some_and(|leadership| leadership.term == transfer.term);
             if let Some(issuer) = self.limits.get_mut(&transfer.team) {
                 if in_term {
                     issuer.settle(zone, transfer.returned);
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -8,7 +8,7 @@
 use crate::wire::Voter;
 
 /// Maximum lag in log entries at which a spare may become a voter.
-const CAUGHT_UP_LAG: u64 = 64;
+const CAUGHT_UP_LAG_ENTRIES: u64 = 64;
 /// Silence after which a spare is not made a voter.
 const SPARE_SILENCE_MAX: Duration = Duration::from_millis(1_500);
 
@@ -76,7 +76,11 @@
         .filter(|(id, p)| {
             let lag = replica.commit().saturating_sub(p.matched);
             let is_recent = now.since(p.heard_at) < SPARE_SILENCE_MAX;
-            !is_voter(*id) && p.durable && is_recent && p.matched > 0 && lag <= CAUGHT_UP_LAG
+            !is_voter(*id)
+                && p.durable
+                && is_recent
+                && p.matched > 0
+                && lag <= CAUGHT_UP_LAG_ENTRIES
         })
         .filter_map(|(id, _)| Some((id, places.get(&id)?)))
         .min_by_key(|(id, place)| (in_zone(&place.zone), *id));
--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -61,23 +61,26 @@
 
 /// Divides `capacity` in whole units: the demands by weighted max-min fairness, then
 /// the surplus evenly among the claimants that take part in it.
-pub fn targets(capacity: u64, claims: &[Claim]) -> Vec<u64> {
-    let claimants: Vec<Claimant> = claims
+pub fn targets(capacity: u64, claimants: &[Claim]) -> Vec<u64> {
+    let demands: Vec<Claimant> = claimants
         .iter()
-        .map(|claim| Claimant {
-            weight: claim.weight.max(1) as f64,
-            demand: claim.demand as f64,
+        .map(|claimant| Claimant {
+            weight: claimant.weight.max(1) as f64,
+            demand: claimant.demand as f64,
         })
         .collect();
-    let mut units = round_down(capacity, &divide(capacity as f64, &claimants));
-    let standing = claims.iter().filter(|claim| claim.standing).count() as u64;
+    let mut units = round_down(capacity, &divide(capacity as f64, &demands));
+    let surplus_claimants = claimants
+        .iter()
+        .filter(|claimant| claimant.standing)
+        .count() as u64;
     let surplus = capacity.saturating_sub(units.iter().sum());
-    if standing == 0 {
+    if surplus_claimants == 0 {
         return units;
     }
-    let (each, mut odd) = (surplus / standing, surplus % standing);
-    for (unit, claim) in units.iter_mut().zip(claims) {
-        if claim.standing {
+    let (each, mut odd) = (surplus / surplus_claimants, surplus % surplus_claimants);
+    for (unit, claimant) in units.iter_mut().zip(claimants) {
+        if claimant.standing {
             *unit += each + u64::from(odd > 0);
             odd = odd.saturating_sub(1);
         }
