--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -12,7 +12,7 @@
 
 const ZONE: [&str; 3] = ["a", "a", "a"];
 /// Successful requests that each caller must reach.
-const ROUNDS: usize = 40;
+const REQUESTS_PER_CALLER: usize = 40;
 
 macro_rules! cases {
     ($($(#[$doc:meta])* async fn $name:ident() $body:block)*) => {
@@ -24,12 +24,12 @@
     async fn no_upstream_is_overcommitted_by_all_instances_at_once() {
         let mut cell = Cell::serving(&ZONE, 2, Duration::from_millis(20)).await;
         // Refused callers retry until the required number of requests has succeeded.
-        let flood = |at: usize, key: &'static str, rounds: usize| {
+        let flood = |at: usize, key: &'static str, requests: usize| {
             let mut client = cell.client(at, key);
             tokio::spawn(async move {
                 let started = Instant::now();
                 let mut done = 0;
-                while done < rounds && started.elapsed() < PATIENCE {
+                while done < requests && started.elapsed() < PATIENCE {
                     let answer = client.send("GET", "/v1/services/orders/x", &[], "").await;
                     if answer.is_ok_and(|a| a.status().is_success()) {
                         done += 1;
@@ -44,7 +44,7 @@
         for at in 0..3 {
             for turn in 0..12 {
                 let key = if turn % 2 == 0 { "big-key" } else { "small-key" };
-                tasks.push(flood(at, key, ROUNDS));
+                tasks.push(flood(at, key, REQUESTS_PER_CALLER));
             }
         }
         sleep(Duration::from_millis(500)).await;
@@ -58,7 +58,7 @@
         for task in tasks {
             done += task.await.expect("runs");
         }
-        assert_eq!(done, 3 * 12 * ROUNDS);
+        assert_eq!(done, 3 * 12 * REQUESTS_PER_CALLER);
         cell.wait_serving(2).await;
         cell.check_capacity();
     }
