--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -139,8 +139,8 @@
         reports
     }
 
-    /// Applies an allotment from the leader of a zone. Allotments of another epoch
-    /// are ignored.
+    /// Applies an allotment from the leader of a zone. Balances and recalls of another
+    /// epoch are ignored.
     pub fn apply_allotment(&mut self, gate: &mut Gate, now: Moment, allotment: &wire::Allotment) {
         let Some(source) = self.sources.get_mut(&allotment.zone) else {
             return;
