--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -1,5 +1,5 @@
-//! The entry instance's side of the allotments: reports to zone leaders and takes
-//! what they allot into the gate.
+//! The entry instance's side of allotments: reports demand to the zone leaders and
+//! applies their allotments to the gate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use crate::core::time::Moment;
 use crate::wire;
 
-/// Interval of reports while nothing waits.
+/// Interval of reports while no requests wait.
 const REPORT_EVERY: Duration = Duration::from_millis(250);
 /// Interval of reports while requests wait.
 const REPORT_STARVED_EVERY: Duration = Duration::from_millis(40);
-/// Waiting time after which other zones are asked for slots.
+/// Waiting time of requests after which other zones are asked for slots.
 const REMOTE_AFTER: Duration = Duration::from_millis(300);
 
-/// Balances that newly opened accounts start from.
+/// Initial balances that are reported when accounts are reopened.
 #[derive(Clone, Debug, Default)]
-struct Opening {
+struct OpeningBalances {
     slots: Vec<(Cell, u64)>,
     units: Vec<(Cell, u64)>,
     kept_idle: bool,
 }
 
-/// The relation to the leader of one zone.
+/// State of the exchange with the leader of one zone.
 #[derive(Debug)]
 struct Source {
     key: SourceKey,
     local: bool,
     leader: InstanceId,
     epoch: u64,
-    opening: Option<Opening>,
+    opening: Option<OpeningBalances>,
     number: u64,
     received: u64,
     sent_at: Moment,
@@ -42,7 +42,7 @@
     applied: u64,
 }
 
-/// Reports of one entry instance to all zone leaders.
+/// Exchange of one entry instance with the leaders of all zones.
 #[derive(Debug)]
 pub struct Agent {
     zone: String,
@@ -52,7 +52,7 @@
 }
 
 impl Agent {
-    /// Makes the agent of an entry instance in `zone`.
+    /// Creates the agent of an entry instance in `zone`.
     pub const fn new(zone: String) -> Self {
         Self {
             zone,
@@ -63,22 +63,22 @@
     }
 
     /// Announces the planned stop in every further report.
-    pub const fn leave(&mut self) {
+    pub const fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Returns the position in the log that the own zone's leader had applied at
-    /// its latest allotment.
+    /// Returns the log index that the leader of this instance's zone had applied at
+    /// its latest allotment, or 0.
     pub fn zone_applied(&self) -> u64 {
         self.sources.get(&self.zone).map_or(0, |s| s.applied)
     }
 
-    /// Returns the key of the own zone's leader in the gate, if it has one.
+    /// Returns the gate's key for the leader of this instance's zone, if known.
     pub fn own_source(&self) -> Option<SourceKey> {
         self.sources.get(&self.zone).map(|s| s.key)
     }
 
-    /// Takes the leaders of all zones.
+    /// Sets the leader of a zone.
     pub fn set_leader(&mut self, gate: &mut Gate, zone: &str, leader: InstanceId) {
         let next = u16::try_from(self.sources.len()).expect("fewer than 65,536 zones");
         let local = zone == self.zone;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns the reports due at `now` with their receivers.
+    /// Returns the reports due at `now`, each with its receiver.
     pub fn tick(&mut self, now: Moment, gate: &mut Gate) -> Vec<(InstanceId, wire::Report)> {
         let starved = gate.is_starved();
         if !starved {
@@ -129,8 +129,8 @@
             if !source.local && !ask_remote && !gate.return_source(source.key) {
                 continue;
             }
-            let wants = source.local || ask_remote;
-            let mut report = source.report(now, gate, wants);
+            let include_demands = source.local || ask_remote;
+            let mut report = source.report(now, gate, include_demands);
             report.zone.clone_from(name);
             report.from_zone.clone_from(&zone);
             report.leaving = self.leaving;
@@ -139,13 +139,14 @@
         reports
     }
 
-    /// Takes an allotment from the leader of a zone.
-    pub fn take(&mut self, gate: &mut Gate, now: Moment, allotment: &wire::Allotment) {
+    /// Applies an allotment from the leader of a zone. Balances and recalls of another
+    /// epoch are ignored.
+    pub fn apply_allotment(&mut self, gate: &mut Gate, now: Moment, allotment: &wire::Allotment) {
         let Some(source) = self.sources.get_mut(&allotment.zone) else {
             return;
         };
         for info in &allotment.upstreams {
-            take_upstream(gate, source, &allotment.zone, info);
+            apply_upstream(gate, source, &allotment.zone, info);
         }
         if allotment.reopen {
             source.reopen(now, gate, allotment.epoch);
@@ -174,7 +175,8 @@
             }
         }
         if !allotment.recall_slots.is_empty() || !allotment.recall_units.is_empty() {
-            // The return is reported at the next tick.
+            // Reports the returned units at the next tick instead of waiting for the
+            // regular interval.
             source.sent_at = Moment::ZERO;
         }
     }
@@ -197,7 +199,7 @@
         } else {
             Vec::new()
         };
-        self.opening = Some(Opening {
+        self.opening = Some(OpeningBalances {
             slots,
             units,
             kept_idle,
@@ -205,7 +207,7 @@
         self.sent_at = Moment::ZERO;
     }
 
-    fn report(&mut self, now: Moment, gate: &mut Gate, wants: bool) -> wire::Report {
+    fn report(&mut self, now: Moment, gate: &mut Gate, include_demands: bool) -> wire::Report {
         self.sent_at = now;
         self.number += 1;
         let mut report = wire::Report {
@@ -215,10 +217,10 @@
             number: self.number,
             ..wire::Report::default()
         };
-        if wants {
+        if include_demands {
             report.demands = demands(gate);
         }
-        if let Some(Opening {
+        if let Some(OpeningBalances {
             slots,
             units,
             kept_idle,
@@ -226,8 +228,14 @@
         {
             report.opening = true;
             report.kept_idle = *kept_idle;
-            report.slots = slots.iter().map(|&(c, held)| opening(c, held)).collect();
-            report.units = units.iter().map(|&(c, held)| opening(c, held)).collect();
+            report.slots = slots
+                .iter()
+                .map(|&(c, held)| opening_balance(c, held))
+                .collect();
+            report.units = units
+                .iter()
+                .map(|&(c, held)| opening_balance(c, held))
+                .collect();
             return report;
         }
         let slots: Vec<(Cell, u64)> = gate
@@ -235,19 +243,19 @@
             .into_iter()
             .map(|(cell, account)| (cell, account.returned))
             .collect();
-        report.slots = self.changed(&slots);
+        report.slots = self.changed_balances(&slots);
         if self.local {
             let units: Vec<(Cell, u64)> = gate
                 .unit_accounts()
                 .into_iter()
                 .map(|(cell, account)| (cell, account.returned))
                 .collect();
-            report.units = self.changed(&units);
+            report.units = self.changed_balances(&units);
         }
         report
     }
 
-    fn changed(&mut self, counters: &[(Cell, u64)]) -> Vec<wire::Balance> {
+    fn changed_balances(&mut self, counters: &[(Cell, u64)]) -> Vec<wire::Balance> {
         let mut balances = Vec::new();
         for &(cell, returned) in counters {
             if self.acked.get(&cell).copied().unwrap_or(0) == returned {
@@ -279,7 +287,7 @@
     }
 }
 
-fn take_upstream(gate: &mut Gate, source: &Source, zone: &str, info: &wire::UpstreamInfo) {
+fn apply_upstream(gate: &mut Gate, source: &Source, zone: &str, info: &wire::UpstreamInfo) {
     let Ok(address) = info.address.parse() else {
         return;
     };
@@ -312,7 +320,7 @@
         .collect()
 }
 
-const fn opening(cell: Cell, held: u64) -> wire::Balance {
+const fn opening_balance(cell: Cell, held: u64) -> wire::Balance {
     wire::Balance {
         cell: cell.0,
         given: held,
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control state of one instance: a pure machine that takes inputs and
-//! returns effects. One thread drives it.
+//! Control state of one instance: a state machine without I/O that takes inputs
+//! and returns effects. It is driven by one thread.
 
 mod claims;
 mod peers;
@@ -25,108 +25,108 @@
 use crate::core::freshness::Tracker;
 use crate::core::gate::Gate;
 use crate::core::job::{Ended, Task};
-use crate::core::lease::{Participant, Register};
+use crate::core::lease::{Grants, Participant};
 use crate::core::registry::{Command, InstanceId, Member, Outcome, Registry};
 use crate::core::time::Moment;
 use crate::error::{Error, Kind};
 use crate::event::Event;
 use crate::wire::{Body, Voter};
 
-/// Interval at which pings tell of all known peers.
+/// Interval at which pings carry the addresses of all known peers.
 const GOSSIP_EVERY: Duration = Duration::from_secs(5);
 /// Interval of pings on each link.
 const PING_EVERY: Duration = Duration::from_millis(500);
-/// A peer that was silent for this long is taken to be gone.
+/// Silence after which a peer counts as disconnected.
 pub const PEER_SILENCE_MAX: Duration = Duration::from_millis(2_500);
-/// A gap between ticks above this is a pause of this process.
+/// Gap between ticks above which this process counts as having been paused.
 const OWN_PAUSE_MIN: Duration = Duration::from_millis(500);
-/// Interval at which withdrawals are proposed until they are committed.
+/// Interval at which key revocations are proposed until they are committed.
 const WITHDRAW_EVERY: Duration = Duration::from_secs(1);
-/// A question is given up after this long.
+/// Time after which a call to another instance fails if it was not answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Bytes of log after which a snapshot is made.
+/// Size of the log from which on a snapshot is made.
 const COMPACT_BYTES: usize = 2 << 20;
-/// Entries of log after which a snapshot is made.
+/// Number of log entries from which on a snapshot is made.
 const COMPACT_ENTRIES: usize = 4_096;
 
-/// Another instance as this one knows it.
+/// Properties of another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for peers.
+    /// Address for connections from peers.
     pub address: String,
-    /// Identity as a replica.
+    /// ID of its replica of the root group.
     pub replica: u64,
-    /// Whether it has a disk.
+    /// Whether it stores the log on disk.
     pub durable: bool,
-    /// Whether it has joined a founded group.
+    /// Whether its replica belongs to a root group that was already founded.
     pub founded: bool,
 }
 
-/// What this instance is.
+/// Properties of this instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Address for peers.
+    /// Address for connections from peers.
     pub address: String,
-    /// Identity as a replica.
+    /// ID of its replica of the root group.
     pub replica: u64,
-    /// Whether it has a disk.
+    /// Whether it stores the log on disk.
     pub durable: bool,
     /// Names of the instances that found the root group.
     pub founders: Vec<String>,
-    /// A voter that was silent for longer is replaced by a spare.
+    /// Silence after which a spare replaces a voter.
     pub replace_after: Duration,
 }
 
-/// Something that happened.
+/// Input to the state machine.
 #[derive(Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Periodic clock tick.
     Tick,
-    /// A link came up.
+    /// A link to a peer was established.
     PeerUp(Peer),
-    /// A link went down.
+    /// A link to a peer was lost.
     PeerDown(InstanceId),
-    /// A message came.
+    /// A message from a peer arrived.
     Message(InstanceId, Body),
-    /// A local question.
+    /// A query from this process.
     Ask {
-        /// Number that the answer repeats.
+        /// Call number that the reply carries.
         call: u64,
-        /// Who is to answer.
+        /// Instance that should answer.
         target: Target,
-        /// Question.
+        /// Query to answer.
         query: Query,
     },
-    /// A planned stop begins.
+    /// A planned stop of this instance begins.
     Leave,
 }
 
-/// Something to do.
+/// Action that the driver should perform.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a message.
+    /// Send a message to an instance.
     Send(InstanceId, Body),
-    /// Answer a local question.
+    /// Answer the local query with this call number.
     Reply(u64, Answer),
-    /// Record an event.
+    /// Record an event in the event log.
     Event(Event),
-    /// The registry, the tombstones or the freshness changed.
+    /// Publish the registry, the tombstones and the freshness, which may have changed.
     Publish,
 }
 
-/// Where an answer goes.
+/// Receiver of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
     Local(u64),
@@ -141,9 +141,9 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct PeerState {
     peer: Peer,
-    heard: Moment,
+    last_heard: Moment,
     ping_received: u64,
     ping_received_at: Moment,
 }
@@ -151,45 +151,45 @@
 /// Control state of one instance.
 #[derive(Debug)]
 pub struct Control {
-    me: Identity,
+    identity: Identity,
     gate: Arc<Mutex<Gate>>,
     replica: Replica,
     registry: Registry,
-    peers: BTreeMap<InstanceId, Known>,
+    peers: BTreeMap<InstanceId, PeerState>,
     fresh: Tracker,
     participant: Participant,
     agent: Agent,
     allocator: Option<Allocator>,
     fleet: Option<Fleet>,
-    polls: BTreeMap<String, Pending>,
-    ends: BTreeMap<Task, Ended>,
-    ends_at: Moment,
-    jobs_seen: u64,
-    withdraw_at: Moment,
-    register: Register,
+    waiting_polls: BTreeMap<String, Pending>,
+    unconfirmed_ends: BTreeMap<Task, Ended>,
+    next_ends_at: Moment,
+    synced_job_changes: u64,
+    next_withdrawal_at: Moment,
+    lease_grants: Grants,
     root_term: Option<u64>,
-    acting: bool,
-    wants: BTreeMap<(String, String), root::Demanded>,
-    told: BTreeMap<String, root::Want>,
-    told_at: Moment,
-    wants_at: Moment,
+    had_authority: bool,
+    demands: BTreeMap<(String, String), root::RecordedDemand>,
+    reported: BTreeMap<String, root::TeamDemand>,
+    full_report_at: Moment,
+    next_report_at: Moment,
     proposals: BTreeMap<u64, (u64, Option<Origin>, Option<String>)>,
     calls: BTreeMap<u64, Pending>,
     next_call: u64,
-    ping_at: Moment,
-    gossip_at: Moment,
+    next_ping_at: Moment,
+    next_gossip_at: Moment,
     tombstones: BTreeSet<String>,
     claims: BTreeMap<String, claim::Table>,
-    copies: claims::Copies,
+    replication: claims::Replication,
     leaving: bool,
-    ticked_at: Moment,
+    last_tick_at: Moment,
     effects: Vec<Effect>,
 }
 
 impl Control {
-    /// Makes the control state of an instance that starts at `now`.
+    /// Creates the control state of an instance that starts at `now`.
     pub fn new(
-        me: Identity,
+        identity: Identity,
         gate: Arc<Mutex<Gate>>,
         stored: Stored,
         now: Moment,
@@ -197,10 +197,17 @@
     ) -> Self {
         let registry = decode_registry(&stored.snapshot.data).unwrap_or_default();
         let member = Member {
-            id: me.id,
-            address: me.address.clone(),
+            id: identity.id,
+            address: identity.address.clone(),
         };
-        let replica = Replica::new(me.replica, &me.name, me.durable, stored, now, seed);
+        let replica = Replica::new(
+            identity.replica,
+            &identity.name,
+            identity.durable,
+            stored,
+            now,
+            seed,
+        );
         let mut control = Self {
             gate,
             replica,
@@ -208,62 +215,64 @@
             peers: BTreeMap::new(),
             fresh: Tracker::default(),
             participant: Participant::new(member, now),
-            agent: Agent::new(me.zone.clone()),
+            agent: Agent::new(identity.zone.clone()),
             allocator: None,
             fleet: None,
-            polls: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            ends_at: now,
-            jobs_seen: u64::MAX,
-            withdraw_at: now,
-            register: Register::default(),
+            waiting_polls: BTreeMap::new(),
+            unconfirmed_ends: BTreeMap::new(),
+            next_ends_at: now,
+            synced_job_changes: u64::MAX,
+            next_withdrawal_at: now,
+            lease_grants: Grants::default(),
             root_term: None,
-            acting: false,
-            wants: BTreeMap::new(),
-            told: BTreeMap::new(),
-            told_at: Moment::ZERO,
-            wants_at: now,
+            had_authority: false,
+            demands: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            full_report_at: Moment::ZERO,
+            next_report_at: now,
             proposals: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: seed,
-            ping_at: now,
-            gossip_at: now,
+            next_ping_at: now,
+            next_gossip_at: now,
             tombstones: BTreeSet::new(),
             claims: BTreeMap::new(),
-            copies: claims::Copies::default(),
+            replication: claims::Replication::default(),
             leaving: false,
-            ticked_at: now,
+            last_tick_at: now,
             effects: Vec::new(),
-            me,
+            identity,
         };
-        control.take_registry(now, 0);
+        control.apply_registry(now, 0);
         control
     }
 
-    /// Returns the replicated state as far as it is known here.
+    /// Returns the replicated state as applied at this instance.
     pub const fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Returns the names of keys whose withdrawal was heard of.
+    /// Returns the names of keys known to be revoked, including revocations that are
+    /// not yet committed.
     pub const fn tombstones(&self) -> &BTreeSet<String> {
         &self.tombstones
     }
 
-    /// Returns the moment up to which all commits are known.
+    /// Returns the moment up to which all commits are applied, if known.
     pub const fn fresh_as_of(&self) -> Option<Moment> {
         self.fresh.as_of()
     }
 
-    /// Returns until when keys count as verified by the root group.
+    /// Returns the moment until which keys count as verified by the root group.
     pub fn root_vouches_until(&self) -> Moment {
         let freshness = self.registry.config.cell.freshness;
         let as_of = self.fresh.as_of();
         as_of.map_or(Moment::ZERO, |as_of| as_of + freshness)
     }
 
-    /// Returns until when the own zone's leader vouches for keys whose home is the
-    /// zone. Zero while this instance lacks something that the leader had applied.
+    /// Returns the moment until which keys whose home is this zone count as verified
+    /// by its leader. Zero while this instance has not applied all log entries that
+    /// the leader had applied.
     pub fn zone_vouches_until(&self) -> Moment {
         if self.registry.applied < self.agent.zone_applied() {
             return Moment::ZERO;
@@ -279,29 +288,29 @@
         &self.replica
     }
 
-    /// Returns whether a link to `peer` is known.
+    /// Returns whether `peer` is connected.
     pub fn knows(&self, peer: InstanceId) -> bool {
         self.peers.contains_key(&peer)
     }
 
-    /// Returns the zone leadership as this instance sees it.
+    /// Returns this instance's state in the leader election of its zone.
     pub const fn participant(&self) -> &Participant {
         &self.participant
     }
 
-    /// Returns the zone leader's state, while this instance leads its zone.
+    /// Returns the zone's allocator while this instance leads the zone.
     pub const fn allocator(&self) -> Option<&Allocator> {
         self.allocator.as_ref()
     }
 
-    /// Takes an input and returns what is to be done once [`Control::take_ready`]
-    /// has been stored.
+    /// Handles an input. The returned effects must be performed only after the
+    /// result of [`Control::take_ready`] has been stored.
     pub fn step(&mut self, now: Moment, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now),
             Input::PeerUp(peer) => self.peer_up(now, peer),
             Input::PeerDown(id) => self.peer_down(now, id),
-            Input::Message(from, body) => self.message(now, from, body),
+            Input::Message(from, body) => self.handle_message(now, from, body),
             Input::Ask {
                 call,
                 target,
@@ -312,13 +321,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns what the replica wants stored, sent and applied.
+    /// Returns the replica's data to store, send and apply.
     pub fn take_ready(&mut self, now: Moment) -> Ready {
         self.replica.flush(now);
         self.replica.take_ready()
     }
 
-    /// Goes on after `ready` has been stored.
+    /// Sends and applies the contents of `ready` after it has been stored.
     pub fn stored(&mut self, now: Moment, ready: Ready) -> Vec<Effect> {
         self.replica.persisted(now);
         for raft in ready.messages {
@@ -333,19 +342,20 @@
             self.effects.push(Effect::Event(Event::SnapshotLoaded {
                 index: snapshot.index,
             }));
-            self.take_registry(now, before);
+            self.apply_registry(now, before);
         }
         if !ready.committed.is_empty() {
             for entry in ready.committed {
                 self.apply(now, entry.index, entry.term, &entry.command, &entry.voters);
             }
-            self.take_registry(now, before);
+            self.apply_registry(now, before);
         }
-        self.fresh.apply(self.registry.applied);
+        self.fresh.advance(self.registry.applied);
         std::mem::take(&mut self.effects)
     }
 
-    /// Makes a snapshot if the log has grown long; yields it for storing.
+    /// Compacts the log if it has reached the size limits. Returns the snapshot to
+    /// store.
     pub fn compact(&mut self) -> Option<crate::core::consensus::Snapshot> {
         let log = self.replica.log();
         if log.bytes() < COMPACT_BYTES && log.len() < COMPACT_ENTRIES {
@@ -356,11 +366,11 @@
     }
 
     fn tick(&mut self, now: Moment) {
-        self.forgive_own_pause(now);
+        self.reset_silence_after_pause(now);
         self.replica.tick(now);
         self.expire_peers(now);
         self.expire_calls(now);
-        self.found(now);
+        self.found_group(now);
         self.ping(now);
         self.tick_root(now);
         self.tick_zone(now);
@@ -377,27 +387,28 @@
             self.agent.tick(now, &mut gate)
         };
         for (leader, report) in reports {
-            if leader == self.me.id {
-                self.take_report(now, self.me.id, &report);
+            if leader == self.identity.id {
+                self.handle_report(now, self.identity.id, &report);
             } else {
                 self.send(leader, Body::Report(report));
             }
         }
     }
 
-    // The founders wait until all of them are seen blank; the first by name founds.
-    fn found(&mut self, now: Moment) {
-        if !self.replica.is_blank() || !self.me.durable {
+    // The first founder by name founds the root group once all other founders are
+    // connected and none of them belongs to a group.
+    fn found_group(&mut self, now: Moment) {
+        if !self.replica.is_blank() || !self.identity.durable {
             return;
         }
-        let mut names = self.me.founders.clone();
+        let mut names = self.identity.founders.clone();
         names.sort_unstable();
-        if names.first() != Some(&self.me.name) {
+        if names.first() != Some(&self.identity.name) {
             return;
         }
         let mut voters = vec![Voter {
-            replica: self.me.replica,
-            name: self.me.name.clone(),
+            replica: self.identity.replica,
+            name: self.identity.name.clone(),
         }];
         for name in names.iter().skip(1) {
             let peer = self.peers.values().find(|k| k.peer.name == *name);
@@ -417,7 +428,10 @@
     }
 
     fn zone_leader(&self, zone: &str) -> Option<InstanceId> {
-        self.registry.zones.get(zone).map(|led| led.leader)
+        self.registry
+            .zones
+            .get(zone)
+            .map(|leadership| leadership.leader)
     }
 
     fn apply(&mut self, now: Moment, index: u64, term: u64, command: &Bytes, voters: &[Voter]) {
@@ -429,7 +443,7 @@
                 .push(Effect::Event(Event::VotersChanged { voters }));
             return;
         }
-        // The first entry of a term changes nothing.
+        // A leader's first entry in its term has no command.
         if command.is_empty() {
             self.registry.applied = index;
             return;
@@ -445,9 +459,9 @@
         if let Ok(command) = &decoded {
             self.record_command(command, &outcome);
         }
-        if let Some((proposed, origin, naming)) = self.proposals.remove(&index) {
-            if let Some(zone) = naming {
-                self.register.end_naming(&zone);
+        if let Some((proposed, origin, appointed_zone)) = self.proposals.remove(&index) {
+            if let Some(zone) = appointed_zone {
+                self.lease_grants.end_appointment(&zone);
             }
             let answer = if proposed == term {
                 Answer::Outcome(outcome)
@@ -474,8 +488,8 @@
         self.effects.push(Effect::Event(event));
     }
 
-    // Brings everything that mirrors the registry up to date.
-    fn take_registry(&mut self, now: Moment, version_before: u64) {
+    // Updates all state that is derived from the registry.
+    fn apply_registry(&mut self, now: Moment, version_before: u64) {
         let version = self.registry.version;
         let mut gate = self.gate.lock().expect("gate lock");
         if version != version_before {
@@ -488,8 +502,8 @@
             self.effects
                 .push(Effect::Event(Event::ConfigInForce { version }));
         }
-        for (zone, led) in &self.registry.zones {
-            self.agent.set_leader(&mut gate, zone, led.leader);
+        for (zone, leadership) in &self.registry.zones {
+            self.agent.set_leader(&mut gate, zone, leadership.leader);
         }
         drop(gate);
         self.observe_leadership(now);
@@ -499,12 +513,12 @@
     fn leave(&mut self, now: Moment) {
         self.leaving = true;
         self.release_polls(now);
-        self.agent.leave();
-        self.ping_at = now;
+        self.agent.set_leaving();
+        self.next_ping_at = now;
         self.effects.push(Effect::Event(Event::Draining {}));
     }
 
-    /// Gives up zone leadership, at the end of a planned stop.
+    /// Gives up the zone leadership at the end of a planned stop.
     pub const fn resign(&mut self) {
         self.participant.resign();
     }
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -1,4 +1,4 @@
-//! Questions between instances and to this one, and who answers them.
+//! Queries of other instances and of this process, and their routing.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
 use crate::core::time::Moment;
 use crate::error::{Error, Kind};
 
-/// Who is to answer a question.
+/// Instance that should answer a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// This instance.
@@ -22,144 +22,144 @@
     Root,
     /// The leader of a zone.
     Zone(String),
-    /// A given instance.
+    /// The instance with this ID.
     Instance(InstanceId),
 }
 
-/// A question.
+/// A query to an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Query {
-    /// Put a command into the log.
+    /// Append a command to the replicated log.
     Propose(Command),
-    /// Take an upstream's heartbeat.
+    /// Handle an upstream's heartbeat.
     Announce(Heartbeat),
-    /// Take a zone's demand for team units.
-    Wants(super::root::ZoneWants),
-    /// Return units of teams from the zone to the pool.
+    /// Handle a zone's report of its demand for units of team limits.
+    Demand(super::root::ZoneDemand),
+    /// Return units of team limits from the zone to the pool.
     Return(Vec<(String, u64)>),
-    /// Tell whether the zone leader has applied the log up to this position.
+    /// Confirm that the zone leader has applied the log up to this index.
     Applied(u64),
-    /// Tell how the instance stands.
+    /// Return the status of the instance.
     Status,
-    /// Return the accepted pushes.
+    /// Return the accepted configuration pushes.
     History,
-    /// Claim a request id whose home is the zone.
+    /// Claim a request ID at its home zone.
     Claim(claim::Attempt),
-    /// Tell the home of a claim how the run ended.
+    /// Report the outcome of a claimed run to its home zone.
     Settle(claim::Settlement),
-    /// Keep copies of claims of a zone.
+    /// Store copies of a zone's claims.
     Copy(claim::Batch),
-    /// Return all copies of claims of a zone.
+    /// Return all stored copies of a zone's claims.
     Fetch(String),
-    /// Take a worker's poll.
+    /// Handle a worker's poll.
     Poll(Box<fleet::Poll>),
-    /// Tell whether a job of this kind can run in the zone.
+    /// Return whether a job with this spec can run in the zone.
     Admit(Box<Spec>),
-    /// Return a job and where its tasks stand.
+    /// Return a job with its state.
     Job(job::Id),
-    /// List the jobs of a team, or all.
+    /// List the jobs of a team, or of all teams.
     Jobs(Option<String>),
     /// Explain why a job's tasks wait.
     Explain(job::Id),
-    /// Name a new leader for a zone whose roster is silent.
+    /// Appoint a new leader for a zone whose roster does not respond.
     Replace(String),
 }
 
-/// Answer to a question.
+/// Answer to a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done.
+    /// The query was carried out.
     Done,
-    /// The heartbeat was taken.
+    /// The heartbeat was accepted.
     Heard(Seen),
-    /// What applying the command gave.
+    /// Outcome of the applied command.
     Outcome(Outcome),
-    /// Units of teams that the zone should return.
+    /// Units of team limits that the zone should return.
     Recalls(Vec<(String, u64)>),
-    /// How the instance stands.
+    /// Status of the instance.
     Status(Box<Status>),
-    /// Accepted pushes, oldest first.
+    /// Accepted configuration pushes, oldest first.
     History(Vec<Push>),
-    /// What became of a claim.
+    /// Result of an attempt to claim a request ID.
     Verdict(claim::Verdict),
-    /// Copies of claims.
+    /// Stored copies of claims.
     Copies(claim::Batch),
-    /// Orders to a worker.
+    /// Orders for a worker.
     Orders(Box<fleet::Orders>),
-    /// Whether a job can run in the zone: why not, or how much is free.
+    /// Whether a job can run in the zone, and how much of the zone is free.
     Admission {
-        /// Why it can never run there.
+        /// Reason why the job can never run there, if any.
         misfit: Option<String>,
-        /// Free part of the zone, in thousandths.
+        /// Free fraction of the zone's dominant resource, in thousandths.
         free_milli: u64,
     },
-    /// A job.
+    /// The requested job.
     Job(Box<Job>),
     /// Jobs, newest first.
     Jobs(Vec<JobLine>),
-    /// Why a job's tasks wait.
+    /// Reasons why a job's tasks wait.
     Explanation(fleet::Explanation),
-    /// It failed.
+    /// The query failed.
     Failed(Error),
 }
 
-/// A peer as another instance sees it.
+/// A connected peer of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the peer.
     pub name: String,
     /// Availability zone.
     pub zone: String,
 }
 
-/// How one instance stands.
+/// Status of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Run of its process.
+    /// ID of its process run.
     pub id: InstanceId,
-    /// Name.
+    /// Name of the instance.
     pub name: String,
     /// Availability zone.
     pub zone: String,
     /// Version of the configuration in force.
     pub version: u64,
-    /// Position in the log.
+    /// Index of the last applied log entry.
     pub applied: u64,
-    /// Age of its knowledge of the root group's state, in milliseconds.
+    /// Age of the known root group state in milliseconds, if any is known.
     pub fresh_ms: Option<u64>,
-    /// Root leader's name, if known.
+    /// Name of the root leader, if known.
     pub root_leader: Option<String>,
-    /// Voters of the root group.
+    /// Names of the voters of the root group.
     pub voters: Vec<String>,
     /// Term of the root group.
     pub root_term: u64,
-    /// Whether it may act as leader of its zone.
+    /// Whether the instance may act as leader of its zone.
     pub leads_zone: bool,
-    /// Term of its zone's leadership.
+    /// Term of the zone's leadership.
     pub zone_term: u64,
-    /// Peers that it hears.
+    /// Connected peers.
     pub peers: Vec<PeerStatus>,
-    /// Figures of teams at its gate.
+    /// Admission statistics of the teams at this instance.
     pub teams: Vec<TeamStat>,
-    /// Workers of its zone, if it leads it.
+    /// Workers of the zone, if the instance leads it.
     pub workers: Vec<fleet::WorkerStat>,
-    /// Upstreams of its zone, if it leads it: name, slots, slots allotted.
+    /// Upstreams of the zone, if the instance leads it.
     pub upstreams: Vec<UpstreamStat>,
 }
 
-/// An upstream as its zone leader sees it.
+/// An upstream and its allotted slots at the zone leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamStat {
-    /// Name.
+    /// Name of the upstream.
     pub name: String,
-    /// Slots.
+    /// Number of slots that it offers.
     pub slots: u64,
-    /// Slots allotted to entry instances.
+    /// Number of slots allotted to entry instances.
     pub allotted: u64,
-    /// Whether it gets nothing new.
+    /// Whether the upstream is draining and gets no new requests.
     pub leaving: bool,
 }
 
@@ -167,21 +167,22 @@
     pub(super) fn ask(&mut self, now: Moment, call: u64, target: &Target, query: Query) {
         let origin = Origin::Local(call);
         if let Query::Propose(Command::WithdrawKey { id }) = &query {
-            // The withdrawal spreads at once by every path.
-            self.take_withdrawn(vec![id.clone()]);
+            // The revocation takes effect here and is sent to all peers before it is
+            // committed.
+            self.handle_withdrawn(vec![id.clone()]);
         }
         self.route(now, origin, target, query);
     }
 
     pub(super) fn route(&mut self, now: Moment, origin: Origin, target: &Target, query: Query) {
         let to = match target {
-            Target::Here => Some(self.me.id),
+            Target::Here => Some(self.identity.id),
             Target::Root => self.root_leader(),
             Target::Zone(zone) => self.zone_leader(zone),
             Target::Instance(id) => Some(*id),
         };
         match to {
-            Some(id) if id == self.me.id => self.handle(now, origin, query),
+            Some(id) if id == self.identity.id => self.handle(now, origin, query),
             Some(id) if self.peers.contains_key(&id) => self.forward(now, id, origin, &query),
             _ => {
                 let message = match target {
@@ -200,16 +201,16 @@
     pub(super) fn handle(&mut self, now: Moment, origin: Origin, query: Query) {
         match query {
             Query::Propose(command) => self.propose(now, origin, &command, None),
-            Query::Announce(beat) => {
-                let answer = self.announce(now, &beat);
+            Query::Announce(heartbeat) => {
+                let answer = self.handle_heartbeat(now, &heartbeat);
                 self.answer(now, origin, answer);
             }
-            Query::Wants(wants) => {
-                let answer = self.take_wants(now, &wants);
+            Query::Demand(zone_demand) => {
+                let answer = self.handle_zone_demand(now, &zone_demand);
                 self.answer(now, origin, answer);
             }
             Query::Return(recalls) => {
-                self.take_recalls(now, &recalls);
+                self.handle_recalls(now, &recalls);
                 self.answer(now, origin, Answer::Done);
             }
             Query::Applied(at) => {
@@ -224,17 +225,17 @@
                 let history = self.registry.history.iter().cloned().collect();
                 self.answer(now, origin, Answer::History(history));
             }
-            Query::Claim(attempt) => self.take_claim(now, origin, &attempt),
-            Query::Settle(settlement) => self.take_settlement(now, origin, settlement),
+            Query::Claim(attempt) => self.handle_claim(now, origin, &attempt),
+            Query::Settle(settlement) => self.handle_settlement(now, origin, settlement),
             Query::Copy(batch) => {
-                self.take_copies(now, batch);
+                self.store_copies(now, batch);
                 self.answer(now, origin, Answer::Done);
             }
             Query::Fetch(zone) => {
                 let batch = self.copies_of(now, &zone);
                 self.answer(now, origin, Answer::Copies(batch));
             }
-            Query::Poll(poll) => self.take_poll(now, origin, &poll),
+            Query::Poll(poll) => self.handle_poll(now, origin, &poll),
             Query::Admit(spec) => {
                 let answer = self.admit(now, &spec);
                 self.answer(now, origin, answer);
@@ -260,18 +261,18 @@
         now: Moment,
         origin: Origin,
         command: &Command,
-        naming: Option<String>,
+        appointed_zone: Option<String>,
     ) {
         let body = postcard::to_allocvec(command).expect("command encodes");
         match self.replica.propose(body.into()) {
             Ok(index) => {
                 let term = self.replica.term();
-                let origin = (origin != super::root::NOBODY).then_some(origin);
-                self.proposals.insert(index, (term, origin, naming));
+                let origin = (origin != super::root::NO_REPLY).then_some(origin);
+                self.proposals.insert(index, (term, origin, appointed_zone));
             }
             Err(err) => {
-                if let Some(zone) = naming {
-                    self.register.end_naming(&zone);
+                if let Some(zone) = appointed_zone {
+                    self.lease_grants.end_appointment(&zone);
                 }
                 let err = Error::new(Kind::NoQuorum, err.to_string());
                 self.answer(now, origin, Answer::Failed(err));
@@ -283,15 +284,15 @@
         let gate = self.gate.lock().expect("gate lock");
         let leader = self.root_leader();
         let name_of = |id: InstanceId| {
-            if id == self.me.id {
-                return Some(self.me.name.clone());
+            if id == self.identity.id {
+                return Some(self.identity.name.clone());
             }
             self.peers.get(&id).map(|k| k.peer.name.clone())
         };
         Status {
-            id: self.me.id,
-            name: self.me.name.clone(),
-            zone: self.me.zone.clone(),
+            id: self.identity.id,
+            name: self.identity.name.clone(),
+            zone: self.identity.zone.clone(),
             version: self.registry.version,
             applied: self.registry.applied,
             fresh_ms: self.fresh.age(now).map(|age| age.as_millis() as u64),
