--- a/src/core/plane/lead/ask.rs
+++ b/src/core/plane/lead/ask.rs
@@ -1,4 +1,4 @@
-//! Which workers to ask permits for.
+//! Selection of the workers for which to request permits.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,37 +12,38 @@
 use crate::core::plane::state::State;
 use crate::core::plane::types::{StepName, WorkerKey};
 
-/// Workers named again beside those that are needed, in case some fill up while the
-/// question is under way.
+/// Minimum number of spare workers in a renewal of permits, in case workers fill up while the
+/// request is in flight.
 const SPARE_NAMED: usize = 2;
-/// Besides, one for this many.
+/// Number of needed workers for each further spare worker in a renewal.
 const SPARE_PART: usize = 3;
-/// Places named for each task of a gang: a policy that allows a third of the workers
-/// leaves some to choose from.
+/// Task slots to cover in the first request for each task of a step, so that a policy that
+/// permits a third of the workers still leaves a choice.
 const NAMED_PER_TASK: usize = 4;
-/// Places, free or not, that should be known to be good for each task of a gang, so that a
+/// Task slots, free or not, on permitted workers to know for each task of a gang, so that a
 /// fleet that is five sixths full has room for it.
 const KNOWN_PER_TASK: usize = 6;
-/// Room to name for what a gang lacks, as a multiple of what would do if just the usual
-/// share of the workers were granted.
+/// Task slots to request for the missing tasks of a gang, as a multiple of those required at
+/// the share of workers granted so far.
 const LEARNED_MARGIN: f64 = 2.0;
-/// Further places named again for each task of a gang whose permits have lapsed: others
-/// take some of the room while the question is under way.
+/// Spare task slots for each task of a gang in a renewal of expired permits, because other
+/// steps take some of the capacity while the request is in flight.
 const SPARE_PER_TASK: usize = 1;
-/// A step that permits would not let start is looked at again after this.
+/// Delay before another attempt for a step for which no permits are worth requesting.
 const ASK_AGAIN: Duration = Duration::from_millis(60);
 
-// Whom to ask for.
+// Workers to name in permission requests.
 enum Wish {
     Nobody,
-    // These, all at once.
+    // All of these workers, in as many requests as needed, sent together.
     All(Vec<WorkerKey>),
-    // As many of these as have room for some number of tasks.
+    // A sample of these workers with room for the given number of tasks.
     Some(Vec<WorkerKey>, usize),
 }
 
 impl Lead {
-    // Workers that may run a step and could get work.
+    // Returns the workers that may run a step by the answers so far and can get work now, or
+    // `None` if there are none.
     pub(super) fn known_good(&self, step: StepName, seats: &Seats) -> Option<Vec<WorkerKey>> {
         let known = self.permits.known(step)?;
         let good = known.good.keys().copied();
@@ -50,9 +51,12 @@
         (!good.is_empty()).then_some(good)
     }
 
-    // Asks for permits: first for a sample of all workers, then again for those that
-    // are known to be good and have room, then for workers not named yet.
-    #[expect(clippy::too_many_arguments, reason = "the state of one round")]
+    // Requests permits: first for a sample of all workers, later to renew those of permitted
+    // workers that have room, and otherwise for workers not named before.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "passes the state of one planning round"
+    )]
     pub(super) fn ask_more(
         &mut self,
         now: Now,
@@ -101,7 +105,7 @@
             self.permits.defer(step, now.at + ASK_AGAIN);
             return;
         }
-        // Below half of a question's usual size its fixed cost is most of it.
+        // The fixed cost dominates in a request of less than half the usual size.
         let parts = parts.min(named.len().div_ceil(most.div_ceil(2)));
         for part in named.chunks(named.len().div_ceil(parts)) {
             let ids = Self::worker_ids(state, part);
@@ -112,7 +116,10 @@
         }
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the state of one round")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "passes the state of one planning round"
+    )]
     fn wish(
         &self,
         now: Now,
@@ -141,9 +148,12 @@
         self.wish_of_tasks(now, step, seats, &find, fitting, &good, others)
     }
 
-    // Of the workers that are known to be good, those whose permits would let tasks start
-    // now, else those not named yet. Nobody, if no task would fit anyway.
-    #[expect(clippy::too_many_arguments, reason = "the state of one round")]
+    // Selects permitted workers whose renewed permits would let tasks start now, otherwise
+    // workers not named before. Selects none if no task would fit.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "passes the state of one planning round"
+    )]
     fn wish_of_tasks(
         &self,
         now: Now,
@@ -164,13 +174,17 @@
         Wish::Some(others, 0)
     }
 
-    // The same for a gang, which needs all its places at once. Further workers are named if
-    // those of them that are likely to be good have room for what is missing.
+    // Selects workers for a gang, which must start all its tasks at once. Workers not named
+    // before are selected if they have room for the missing tasks, or if too few permitted
+    // workers are known.
     //
-    // Load: hundreds of gangs wait on a full fleet, and the permission service has time for
-    // some hundred questions at once. Learning workers without room takes that time from
-    // gangs that could start.
-    #[expect(clippy::too_many_arguments, reason = "the state of one round")]
+    // When hundreds of gangs wait on a full fleet, the permission service handles only about
+    // a hundred requests at once. Requests for workers without room would delay gangs that
+    // could start.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "passes the state of one planning round"
+    )]
     fn wish_of_gang(
         &self,
         now: Now,
@@ -203,7 +217,8 @@
         Wish::Nobody
     }
 
-    // All permits for workers that fit, if one of them has lapsed, and for some more.
+    // Selects the workers that fit and some spare ones if a permit of those that fit has
+    // expired, otherwise none.
     fn renewal(
         &self,
         now: Now,
@@ -226,7 +241,8 @@
     }
 }
 
-// Workers beside those that fit, the ones with most room first.
+// Returns the permitted workers other than `fitting`, those with the most free processors
+// first.
 fn more_than(seats: &Seats, good: &[WorkerKey], fitting: &[WorkerKey]) -> Vec<WorkerKey> {
     let is_more = |key: &WorkerKey| !fitting.contains(key);
     let mut more: Vec<WorkerKey> = good.iter().copied().filter(is_more).collect();
@@ -235,8 +251,8 @@
     more
 }
 
-// Puts workers with room first, otherwise in an order that differs for each step, which
-// spreads the load.
+// Orders workers with room first, and otherwise by a hash of step and worker, which spreads
+// the steps over the workers.
 fn sample(seats: &Seats, what: &Candidate, step: StepName, named: &mut [WorkerKey]) {
     named.sort_by_cached_key(|key| {
         let mut hasher = DefaultHasher::new();
@@ -245,7 +261,8 @@
     });
 }
 
-// How many of `named`, from the first on, it takes for room for `count` tasks.
+// Returns the length of the shortest prefix of `named` that has room for `count` tasks, or
+// the whole length if they do not fit.
 fn first_with_room(seats: &Seats, what: &Candidate, named: &[WorkerKey], count: usize) -> usize {
     let mut room = 0;
     let has_enough = |key: &WorkerKey| {
--- a/src/core/plane/lead/order.rs
+++ b/src/core/plane/lead/order.rs
@@ -1,38 +1,39 @@
 //! The order in which waiting steps are placed.
 //!
-//! Load: a fleet that is four fifths full on a calm day and over-full in bursts.
-//! Serving strictly by age or deadline lets one burst make everything late. Here
-//! work that can still meet its goal comes before work that is late, and late work
-//! before work that has lost its worth; within that come queues by priority, then
-//! accounts below their share, then the least slack.
+//! The fleet is about 80% utilized in normal operation and overloaded in bursts. Strict
+//! ordering by age or deadline lets a single burst make all later work late. Steps that can
+//! still meet their response-time goal therefore come before late ones, and late ones before
+//! those whose result has become worthless. Ties are broken by queue priority, then by
+//! whether the account is within its fair share, then by the least slack.
 
 use serde::Serialize;
 
-/// Multiple of the response-time goal after which a job is worth nothing.
+/// Multiple of the response-time goal after which a job's result is worthless.
 const LATE_MAX: f64 = 3.0;
-/// Part of the estimated remaining time that counts when a job is judged late.
-/// Estimates are up to twice the real time, and a job must not be set back for one.
+/// Share of the estimated remaining time that counts when deciding whether a job is late.
+/// Estimates are up to twice the real run time, and an overestimate must not demote a job.
 const REMAINING_TRUST: f64 = 0.6;
-/// Time by which lasting work counts as older than it is, in milliseconds: a day, more
-/// than any goal.
+/// Time by which the rank of long-running work is moved ahead, in milliseconds: one day,
+/// longer than any response-time goal.
 const LASTING_LEAD_MS: i64 = 24 * 3_600 * 1_000;
 
-/// Sorts first what is to be placed first.
+/// Sort key of a waiting step: the lowest rank is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Rank {
-    /// 0 if the goal can be met, 1 if it is late, 2 if it has lost its worth.
+    /// 0 if the goal can still be met, 1 if the job is late, 2 if its result is worthless.
     pub lateness: u8,
-    /// Priority of the queue.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
-    /// Whether the account has more than its share.
+    /// Whether the account uses more than its fair share.
     pub over_share: bool,
-    /// Latest start that meets the goal, in milliseconds since 1970.
+    /// Latest start that meets the goal, or for late jobs the time at which the result becomes
+    /// worthless, in milliseconds since 1970.
     pub latest_start_ms: i64,
 }
 
 impl Rank {
-    /// Ranks a step whose tasks last: before all others, the oldest first. It is owed its
-    /// places for as long as its job stays, however much else waits.
+    /// Ranks a step of long-running tasks: ahead of all other steps, the oldest first. Such a
+    /// step is guaranteed its tasks until its job is cancelled, whatever else waits.
     pub const fn lasting(since_ms: u64) -> Self {
         Self {
             lateness: 0,
@@ -43,23 +44,23 @@
     }
 }
 
-/// What a rank is made of.
+/// Timing of a job from which its rank is computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Age {
-    /// When the job was accepted or its occurrence was due, in milliseconds since
-    /// 1970.
+    /// When the occurrence was due or, without a due time, the job was accepted, in
+    /// milliseconds since 1970.
     pub since_ms: u64,
-    /// Estimated time of its longest chain, in milliseconds.
+    /// Estimated run time of the critical path, in milliseconds.
     pub chain_ms: f64,
-    /// Estimated time of what remains of it, in milliseconds.
+    /// Estimated run time of what remains of the critical path, in milliseconds.
     pub left_ms: f64,
-    /// Goal as a multiple of the chain.
+    /// Response-time goal as a multiple of the critical path; at least 1 is used.
     pub stretch: f64,
-    /// Fixed part of the goal, in milliseconds.
+    /// Fixed part of the response-time goal, in milliseconds.
     pub goal_ms: u64,
 }
 
-/// Ranks a job at `wall_ms` milliseconds since 1970.
+/// Ranks a step at the wall-clock time `wall_ms`, in milliseconds since 1970.
 pub fn rank(wall_ms: u64, age: Age, priority: u32, over_share: bool) -> Rank {
     let goal = age.stretch.max(1.0) * age.chain_ms + age.goal_ms as f64;
     let passed = wall_ms as f64 - age.since_ms as f64;
--- a/src/core/plane/lead/permits.rs
+++ b/src/core/plane/lead/permits.rs
@@ -1,8 +1,8 @@
-//! Permission to run steps on workers.
+//! Permits to run steps on workers, granted by an external permission service.
 //!
-//! The permission service answers one question at a time for each instance that
-//! asks, and a question takes longer the more workers it names. Questions are
-//! spread over all instances, each to the one that would have its answer first.
+//! The service handles one request at a time for each requesting instance, and a request
+//! takes longer the more workers it names. Requests are spread over all instances: a quick
+//! request goes to the instance that is free first, a slow one to an idle instance.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -13,61 +13,65 @@
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
 
-/// A permit counts as over this long before it is, for the way to the worker.
+/// A permit is treated as expired this long before its expiry, to allow for the delay of a
+/// start on its way to the worker.
 const PERMIT_MARGIN: Duration = Duration::from_millis(150);
-/// Time on top of twice the expected one after which an answer is given up.
+/// Time added to the instance's queueing delay and twice the expected duration of a request
+/// for its timeout.
 const ANSWER_SLACK: Duration = Duration::from_millis(700);
-/// An instance whose question failed is not asked again for this long.
+/// An instance whose request failed gets no further requests for this long.
 const ASKER_PAUSE: Duration = Duration::from_millis(500);
-/// Questions that take longer are slow. It is the fixed part of most goals.
+/// Expected duration from which a request counts as slow: the fixed part of most
+/// response-time goals.
 pub const SLOW_MIN: Duration = Duration::from_millis(200);
-/// Part of the instances that may have slow questions under way, so that the others
-/// are free for quick ones.
+/// Share of the instances that may have slow requests in flight, so that the others are free
+/// for quick ones.
 const SLOW_SHARE: f64 = 0.6;
-/// Most slow questions of one step at once. Eight name some 550 workers on the terms of the
-/// first users, of which 190 may run the step: places for a gang of 130.
+/// Maximum number of slow requests in flight for one step. With the permission costs of the
+/// first users, 8 requests name about 550 workers, of which 190 may run the step: enough for
+/// a gang of 130 tasks.
 const PARTS_MAX: usize = 8;
-/// Idle instances for each of them, so that two other steps find one.
+/// Number of idle instances required for each slow request of a step, so that two other
+/// steps find an idle instance as well.
 const IDLE_PER_PART: usize = 3;
-/// Longest time that a quick question may wait for its turn at the instance that
-/// asks it.
+/// Maximum queueing delay of a quick request at the instance that sends it.
 const TURN_MAX: Duration = Duration::from_millis(100);
-/// Workers that one question may name; a limit of the service.
+/// Maximum number of workers in one request; a limit of the permission service.
 pub const NAMED_MAX: usize = 100;
-/// Fewest workers that a first question names.
+/// Minimum number of workers in the first request of a step.
 const NAMED_MIN: usize = 8;
-/// Part of the fixed cost of a question that naming workers may add.
+/// Maximum cost of the named workers as a share of the fixed cost of a request.
 const NAMING_SHARE: f64 = 0.4;
-/// The same for gangs, which need room for all tasks at once among the workers that are
-/// granted.
+/// The same share for gangs, which need more workers because the granted ones must have room
+/// for all tasks at once.
 const NAMING_SHARE_GANG: f64 = 1.0;
 
-/// A permit.
+/// Permit to run a step on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permit {
-    /// Text that a start carries.
+    /// Opaque text of the permit, passed on to the worker with the start.
     pub text: String,
-    /// When it is over.
+    /// Time from which the permit must not be used.
     pub until: Moment,
 }
 
-/// What is known for one step.
+/// Answers and requests of one step.
 #[derive(Clone, Debug, Default)]
 pub struct Known {
-    /// Workers that may run the step, with the latest permit.
+    /// Workers that may run the step, with the latest permit, which may have expired.
     pub good: BTreeMap<WorkerKey, Permit>,
-    /// Workers that may not.
+    /// Workers that may not run the step.
     pub bad: BTreeSet<WorkerKey>,
-    /// Questions under way.
+    /// Number of requests in flight.
     pub asking: u32,
-    /// When to ask again after a failure.
+    /// Earliest time of the next request, after a failure or a deferral.
     pub retry_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Asker {
     busy_until: Moment,
-    /// Slow questions under way.
+    /// Number of slow requests in flight.
     slow: u32,
 }
 
@@ -88,20 +92,20 @@
     is_slow: bool,
 }
 
-/// A finished question.
+/// A request that was answered, failed or timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finished {
-    /// Step.
+    /// Step that the request was for.
     pub step: StepName,
-    /// Workers named.
+    /// Number of workers named in the request.
     pub named: usize,
-    /// Workers granted.
+    /// Number of workers granted; `None` if the request failed.
     pub granted: Option<usize>,
-    /// Time taken.
+    /// Time from sending the request to its end.
     pub took: Duration,
 }
 
-/// All permits of a leader.
+/// Permits and permission requests of a leader.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
     steps: HashMap<StepName, Known>,
@@ -109,8 +113,8 @@
     open: HashMap<u64, Open>,
 }
 
-/// Returns how many workers a first question names, so that naming them costs no more
-/// than a part of the question itself.
+/// Returns the number of workers to name in the first request of a step. Their cost is at
+/// most a set share of the fixed cost of the request.
 pub fn named_count(terms: Permission, gang: bool) -> usize {
     if terms.each_ms <= 0.0 {
         return NAMED_MAX;
@@ -124,14 +128,14 @@
     (affordable as usize).clamp(NAMED_MIN, NAMED_MAX)
 }
 
-/// Returns the expected time of a question.
+/// Returns the expected duration of a request that names `named` workers.
 pub fn expected(terms: Permission, named: usize) -> Duration {
     let millis = terms.decide_ms + terms.each_ms * named as f64;
     Duration::from_micros((millis * 1_000.0) as u64)
 }
 
 impl Permits {
-    /// Replaces the instances that can ask.
+    /// Replaces the set of instances that can send requests.
     pub fn set_askers(&mut self, askers: &[InstanceId]) {
         self.askers.retain(|id, _| askers.contains(id));
         for id in askers {
@@ -142,30 +146,30 @@
         }
     }
 
-    /// Returns what is known for a step.
+    /// Returns the answers and requests of a step, if it has any.
     pub fn known(&self, step: StepName) -> Option<&Known> {
         self.steps.get(&step)
     }
 
-    /// Returns a permit that is valid now.
+    /// Returns the permit of a step for a worker, if it is valid at `now`.
     pub fn valid(&self, now: Moment, step: StepName, worker: WorkerKey) -> Option<&Permit> {
         let permit = self.steps.get(&step)?.good.get(&worker)?;
         (now < permit.until).then_some(permit)
     }
 
-    /// Leaves a step alone for a while.
+    /// Defers the next request of a step until at least `until`.
     pub fn defer(&mut self, step: StepName, until: Moment) {
         let known = self.steps.entry(step).or_default();
         known.retry_at = known.retry_at.max(until);
     }
 
-    /// Returns whether a question for the step is under way or is not to be asked yet.
+    /// Returns whether a request of the step is in flight or its next request is deferred.
     pub fn is_waiting(&self, now: Moment, step: StepName) -> bool {
         let known = self.steps.get(&step);
         known.is_some_and(|known| known.asking > 0 || now < known.retry_at)
     }
 
-    /// Returns the workers with a permit that is valid now.
+    /// Returns the workers for which the step has a permit that is valid at `now`.
     pub fn valid_workers(&self, now: Moment, step: StepName) -> Vec<WorkerKey> {
         let Some(known) = self.steps.get(&step) else {
             return Vec::new();
@@ -178,7 +182,8 @@
             .collect()
     }
 
-    /// Drops a permit that a worker refused.
+    /// Expires a permit that a worker refused. The worker still counts as permitted, so that
+    /// the permit is requested again.
     pub fn revoke(&mut self, step: StepName, worker: WorkerKey) {
         if let Some(known) = self.steps.get_mut(&step)
             && let Some(permit) = known.good.get_mut(&worker)
@@ -187,36 +192,39 @@
         }
     }
 
-    /// Forgets steps that `keep` does not want.
+    /// Drops the steps for which `keep` returns false, except those with requests in flight.
     pub fn retain(&mut self, keep: impl Fn(StepName) -> bool) {
         self.steps
             .retain(|step, known| known.asking > 0 || keep(*step));
     }
 
-    /// Returns whether an instance could ask now.
+    /// Returns whether an instance can send a request at `now`.
     pub fn can_ask(&self, now: Moment, is_slow: bool) -> bool {
         self.choose(now, is_slow).is_some()
     }
 
-    /// Returns how many instances could ask a slow question now.
+    /// Returns how many instances can send a slow request at `now`.
     pub fn idle(&self, now: Moment) -> usize {
         self.slow_askers().filter(|(_, a)| a.is_idle(now)).count()
     }
 
-    /// Returns how many slow questions of one step may be under way at once: a part of
-    /// what the idle instances could ask, so that other steps find one too.
+    /// Returns how many slow requests one step may have in flight: a fraction of the idle
+    /// instances, so that other steps find an idle instance as well.
     pub fn parts(&self, now: Moment) -> usize {
         (self.idle(now) / IDLE_PER_PART).clamp(1, PARTS_MAX)
     }
 
-    /// Returns the share of the workers named for a step that may run it.
+    /// Estimates the share of workers that may run a step from the answers so far, starting
+    /// at one half.
     pub fn granted_share(&self, step: StepName) -> f64 {
         let known = self.steps.get(&step);
         let (good, bad) = known.map_or((0, 0), |k| (k.good.len(), k.bad.len()));
         (good + 1) as f64 / (good + bad + 2) as f64
     }
 
-    /// Asks for workers, if an instance can ask. Yields who asks what.
+    /// Creates a request for permits on the named workers and returns it with the instance
+    /// that sends it. Returns `None` if no instance can send one. Workers beyond the limit of
+    /// one request are left out.
     pub fn ask(
         &mut self,
         now: Moment,
@@ -259,8 +267,9 @@
         Some((asker, question))
     }
 
-    // The instance that would ask first. Slow questions do not queue, and go to the
-    // same part of the instances, so that quick ones seldom wait behind them.
+    // Chooses the instance that can send a request first. Slow requests are not queued, and
+    // only a fixed share of the instances sends them, so that quick requests rarely wait
+    // behind slow ones.
     fn choose(&self, now: Moment, is_slow: bool) -> Option<InstanceId> {
         if is_slow {
             let idle = self.slow_askers().find(|(_, a)| a.is_idle(now));
@@ -278,7 +287,8 @@
         self.askers.iter().take(most)
     }
 
-    /// Takes an answer. Without `granted` the question failed.
+    /// Records the answer to a request; `None` for `granted` means that the request failed.
+    /// Returns `None` if the request is unknown, for example after its timeout.
     pub fn take(
         &mut self,
         now: Moment,
@@ -322,7 +332,7 @@
         Some(finished)
     }
 
-    /// Gives up questions that had no answer in time.
+    /// Fails the requests that have reached their timeout.
     pub fn expire(&mut self, now: Moment) -> Vec<Finished> {
         let late: Vec<u64> = self
             .open
--- a/src/core/plane/lead/place.rs
+++ b/src/core/plane/lead/place.rs
@@ -1,87 +1,93 @@
-//! Fitting tasks to workers.
+//! Placement of tasks on workers.
 //!
-//! Load: gangs of large tasks beside many small ones. Small tasks go where they
-//! leave the least room, so that whole holes stay for large ones, and a gang that
-//! does not fit yet keeps later work off the workers it is closest to fitting on.
+//! The expected load mixes gangs of large tasks with many small tasks. Best-fit bin
+//! packing puts a task on the worker where it leaves the least free processor time, so
+//! that workers with much free capacity stay available for large tasks. Capacity is reserved
+//! for a gang that does not fit yet on the workers closest to fitting it, which keeps
+//! later work off them.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap};
 
 use crate::core::plane::types::{Amount, WorkerKey};
 
-/// Room on a worker that is worth a start, in thousandths of a core, for each
-/// multiple of the expected run time that the worker is slower.
+/// Placement cost of a slow worker, in thousandths of a core, for each multiple of the
+/// expected run time by which the worker is slower.
 const SLOW_COST: f64 = 24_000.0;
-/// Cost of each point of the score of failures, in thousandths of a core.
+/// Placement cost of each point of a worker's failure score, in thousandths of a core.
 const FAILURE_COST: f64 = 16_000.0;
-/// Cost of a rack without the step's data, for each multiple that it is slower.
+/// Placement cost of a rack without the step's data, in thousandths of a core, for each
+/// multiple of the expected run time by which tasks are slower there.
 const FAR_COST: f64 = 24_000.0;
 
-/// Part of a worker that the task of a common gang takes: nine cores of 32. All of what
-/// is less may be kept for urgent work.
+/// Share of a worker that a task of a typical gang takes: 9 of 32 cores. Where less than
+/// this is free, all of it may be reserved for urgent work.
 const LARGE_SHARE: f64 = 0.28;
-/// Largest part of a worker with more than that which is kept for urgent work. More would
-/// leave no place for the third of three such tasks.
+/// Maximum share reserved for urgent work on a worker with room for a large task. A larger
+/// reserve would leave a worker with room for only two large tasks instead of three.
 const URGENT_SHARE_MAX: f64 = 0.15;
-/// Least free processors that are a place for urgent work, in thousandths of a core: the
-/// size of a small task.
+/// Minimum free processors on a worker for a reserve for urgent work, in thousandths of a
+/// core: the size of a small task.
 const URGENT_PLACE: i64 = 2_000;
 
-/// Room for more tasks on one worker is not told apart.
+/// Upper bound on the number of tasks counted for one worker.
 const COUNTED_MAX: u16 = 64;
 
-/// A worker as placing sees it.
+/// A worker as a placement target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Seat {
-    /// Capacity.
+    /// Total capacity.
     pub capacity: Amount,
-    /// What is free; may be below zero for what waiting gangs keep.
+    /// Free capacity, available to urgent work.
     pub free: Amount,
-    /// What is free for work that is not urgent.
+    /// Free capacity for work that is not urgent: excludes the reserves for urgent work and
+    /// for waiting gangs, and is negative if they exceed what is free.
     pub free_later: Amount,
-    /// Rack.
+    /// Number of the worker's rack.
     pub rack: u32,
-    /// Run time relative to what is expected.
+    /// Run time as a multiple of the expected run time.
     pub slowness: f64,
-    /// Score of failures.
+    /// Score of recent failures; higher is worse.
     pub failures: f64,
-    /// Whether a task with users of its own is there.
+    /// Whether the worker runs a task that serves requests.
     pub serving: bool,
-    /// Whether a filling task is there.
+    /// Whether the worker runs a best-effort task, which uses only processor time that other
+    /// tasks leave idle.
     pub filling: bool,
 }
 
-/// What is to be placed.
+/// Resources and constraints of the tasks to place, all of one step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Candidate {
-    /// What a task takes.
+    /// Capacity that each task takes.
     pub room: Amount,
-    /// Whether urgent work's room may be used.
+    /// Whether the tasks may use capacity reserved for urgent work and for waiting gangs.
     pub urgent: bool,
-    /// Rack with the data.
+    /// Rack that holds the step's data.
     pub data_rack: Option<u32>,
-    /// How much slower tasks are elsewhere.
+    /// Run time on other racks as a multiple of the run time on the data's rack.
     pub far: f64,
-    /// Tasks that may be on one worker.
+    /// Maximum number of the step's tasks on one worker.
     pub most: Option<u16>,
-    /// Whether all tasks should be on one rack.
+    /// Whether to prefer placing all tasks on one rack.
     pub one_rack: bool,
-    /// Whether the tasks have users of their own.
+    /// Whether the tasks serve requests.
     pub serving: bool,
-    /// Whether the tasks only fill.
+    /// Whether the tasks are best-effort, using only processor time that others leave idle.
     pub filling: bool,
 }
 
-/// All workers that may get work now.
+/// The workers that may get work in one planning round.
 #[derive(Clone, Debug, Default)]
 pub struct Seats {
-    /// By key; keys of workers that get nothing now hold none.
+    /// Indexed by worker key; `None` for workers that get no work in this round.
     seats: Vec<Option<Seat>>,
+    /// Number of workers examined so far, which bounds the time of a round.
     work: Cell<u32>,
 }
 
 impl Seats {
-    /// Adds a worker.
+    /// Adds a worker, or replaces it if its key is already present.
     pub fn add(&mut self, worker: WorkerKey, seat: Seat) {
         let at = worker.0 as usize;
         if self.seats.len() <= at {
@@ -90,7 +96,7 @@
         self.seats[at] = Some(seat);
     }
 
-    /// Returns a worker.
+    /// Returns the worker with this key, if it may get work.
     pub fn get(&self, worker: WorkerKey) -> Option<&Seat> {
         self.seats.get(worker.0 as usize)?.as_ref()
     }
@@ -99,7 +105,7 @@
         self.seats.get_mut(worker.0 as usize)?.as_mut()
     }
 
-    /// Returns all workers.
+    /// Iterates over the workers in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerKey, &Seat)> {
         (0..)
             .map(WorkerKey)
@@ -107,18 +113,18 @@
             .filter_map(|(key, seat)| Some((key, seat.as_ref()?)))
     }
 
-    /// Returns how many workers have been looked at.
+    /// Returns the number of workers examined so far.
     pub const fn work(&self) -> u32 {
         self.work.get()
     }
 
-    /// Counts workers that are looked at.
+    /// Adds to the number of examined workers.
     pub fn count(&self, workers: usize) {
         self.work
             .set(self.work.get().saturating_add(workers as u32));
     }
 
-    /// Takes room on a worker.
+    /// Allocates the capacity for one task on a worker.
     pub fn take(&mut self, worker: WorkerKey, what: &Candidate) {
         if let Some(seat) = self.get_mut(worker) {
             seat.free -= what.room;
@@ -134,12 +140,12 @@
         } else {
             &seat.free_later
         };
-        // What fills must not slow down what serves, so that they never share a
+        // Best-effort tasks would slow down serving tasks, so the two never share a
         // worker.
         what.room.fits(free) && !(what.serving && seat.filling || what.filling && seat.serving)
     }
 
-    /// Returns how many tasks a worker has room for now.
+    /// Returns how many tasks fit in the free capacity of a worker.
     pub fn room_for(&self, worker: WorkerKey, what: &Candidate) -> usize {
         let Some(seat) = self.get(worker) else {
             return 0;
@@ -156,15 +162,16 @@
         count
     }
 
-    /// Returns how many tasks the workers would hold if they were empty.
+    /// Returns how many tasks would fit on the workers if they were empty.
     pub fn holds(&self, workers: &[WorkerKey], what: &Candidate) -> usize {
         self.count(workers.len());
         let seats = workers.iter().filter_map(|&key| self.get(key));
         seats.map(|seat| places(&seat.capacity, what)).sum()
     }
 
-    /// Finds workers for up to `count` tasks among `allowed`, given how many tasks of
-    /// the step each worker has. Takes no room.
+    /// Selects workers among `allowed` for up to `count` tasks, given how many tasks of the
+    /// step each worker already runs. A worker is listed once for each task. Allocates
+    /// nothing.
     pub fn find(
         &self,
         what: &Candidate,
@@ -237,12 +244,12 @@
         found
     }
 
-    /// Keeps processors for urgent work, in thousandths of a core, on the workers that have
-    /// least free first.
+    /// Reserves processors for urgent work, in thousandths of a core, starting with the
+    /// workers that have the least free.
     ///
-    /// Load: urgent tasks of a few cores beside gangs whose tasks take a third or almost
-    /// half of a worker. The urgent ones fit in what the gangs leave over. The same part of
-    /// each worker instead leaves no place for the second of two such tasks on any.
+    /// Urgent tasks of a few cores run beside gangs whose tasks take a third to almost half
+    /// of a worker, and fit in the capacity that those leave free. Reserving the same share
+    /// of every worker instead would leave no worker with room for two such gang tasks.
     pub fn keep_for_urgent(&mut self, cpu: i64) {
         let mut order: Vec<(i64, WorkerKey)> = self
             .iter()
@@ -270,13 +277,13 @@
         }
     }
 
-    /// Returns the processors of all workers, in thousandths of a core.
+    /// Returns the total processor capacity of the workers, in thousandths of a core.
     pub fn total_cpu(&self) -> i64 {
         self.iter().map(|(_, seat)| seat.capacity.cpu).sum()
     }
 
-    /// Keeps room for `count` tasks that do not fit yet: what is free on the workers
-    /// closest to fitting them is withheld from later candidates.
+    /// Reserves capacity for `count` tasks that do not fit yet on the workers closest to
+    /// fitting them, so that later work that is not urgent cannot use it.
     pub fn keep(&mut self, what: &Candidate, count: usize, allowed: &[WorkerKey]) {
         let mut closest: Vec<(i64, WorkerKey)> = allowed
             .iter()
@@ -295,14 +302,14 @@
             }
             let seat = self.get_mut(key).expect("listed above");
             let here = places(&seat.capacity, what).clamp(1, left);
-            // Urgent work may still take the room.
+            // Urgent work may still use the reserved capacity.
             seat.free_later -= what.room.times(here as i64);
             left -= here;
         }
     }
 }
 
-// How many tasks fit in `room`, none of which is taken.
+// Returns how many tasks fit in `room` if all of it is free.
 fn places(room: &Amount, what: &Candidate) -> usize {
     let part = |have: i64, need: i64| if need > 0 { have / need } else { i64::MAX };
     let most = part(room.cpu, what.room.cpu)
@@ -312,7 +319,8 @@
     usize::try_from(most.min(limit)).unwrap_or(0)
 }
 
-// Lower is better: the room left over, and what makes the worker a bad choice.
+// Returns the placement cost of a worker, in thousandths of a core; lower is better. It is
+// the processors left free (best fit) plus penalties for remote data, slowness and failures.
 fn cost(seat: &Seat, what: &Candidate) -> f64 {
     let left = (seat.free.cpu - what.room.cpu) as f64;
     let far = match what.data_rack {
--- a/src/core/plane/lead/plan.rs
+++ b/src/core/plane/lead/plan.rs
@@ -1,4 +1,4 @@
-//! One round of planning: which waiting steps start where.
+//! One planning round: selects the waiting tasks to start and their workers.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,34 +12,36 @@
 use crate::core::plane::types::{Amount, StepName, TaskName, WorkerKey};
 use crate::core::share::{Claimant, divide};
 
-/// Part of all processors that is kept for gangs that wait. More would keep the fleet
-/// idle; the first gang is always kept for.
+/// Maximum share of all processors reserved for waiting gangs. A larger reserve would leave
+/// the fleet idle. The first gang gets its reserve whatever its size.
 const KEEP_SHARE: f64 = 0.3;
-/// Room for urgent work on top of its recent peak.
+/// Capacity provided for urgent work as a multiple of its recent peak.
 const URGENT_MARGIN: f64 = 1.2;
-/// Part of the peak of urgent work that is forgotten in a round: half in some ten
-/// seconds at 50 rounds a second.
+/// Share by which the recent peak of urgent work decays in each round: by half in about 10 s
+/// at 50 rounds per second.
 const URGENT_DECAY: f64 = 0.0014;
 
-/// Workers and steps that one round looks at before it ends; the next goes on.
+/// Number of workers and steps examined after which a round ends and leaves the other steps
+/// to the next.
 const WORK_MAX: u32 = 60_000;
 
-/// What one round has come to.
+/// State of one planning round.
 struct Round {
     seats: Seats,
-    /// Gangs to keep room for: what a task takes, how many, and where they may run.
+    /// Gangs to reserve capacity for: what each task takes, the number of tasks, and the
+    /// workers they may run on.
     kept: Vec<(Candidate, usize, Vec<WorkerKey>)>,
-    /// Processors that are kept, in thousandths of a core, and the most.
+    /// Processors reserved so far and their maximum, in thousandths of a core.
     kept_cpu: i64,
     kept_max: i64,
     starts: Vec<Start>,
-    /// Workers by service and label.
+    /// Eligible workers by service and label.
     eligible: HashMap<(String, Option<String>), Rc<Vec<WorkerKey>>>,
 }
 
 impl Round {
-    // Room is kept from later groups only. Gangs of one queue would otherwise wait for
-    // each other's permits.
+    // Applies the reserves of the group of steps just planned to the groups after it. Within
+    // a group they do not apply: gangs of one queue would wait for each other's permits.
     fn apply_kept(&mut self) {
         for (what, count, allowed) in self.kept.drain(..) {
             self.seats.keep(&what, count, &allowed);
@@ -47,7 +49,7 @@
     }
 }
 
-/// A step with tasks to place.
+/// A step with tasks waiting for placement.
 pub(super) struct Waiting {
     pub(super) rank: Rank,
     pub(super) step: StepName,
@@ -55,7 +57,7 @@
 }
 
 impl Lead {
-    /// Plans one round. Returns the starts and how many workers and steps it looked at.
+    /// Plans one round. Returns the starts and the number of workers and steps examined.
     pub(super) fn plan(&mut self, now: Now, state: &State) -> (Vec<Start>, u32) {
         let mut waiting = self.waiting_steps(now, state);
         if waiting.is_empty() {
@@ -213,8 +215,8 @@
         self.keep_room(waiting, spec, &what, &eligible, round);
     }
 
-    // Keeps room for a gang that does not fit yet or waits for permits, so that later
-    // work does not take it meanwhile.
+    // Reserves capacity for a gang that does not fit yet or waits for permits, so that later
+    // work does not take it in the meantime.
     fn keep_room(
         &self,
         waiting: &Waiting,
@@ -232,7 +234,8 @@
         round.kept.push((what.clone(), waiting.count, allowed));
     }
 
-    // How many of `count` tasks the account's cap leaves room for.
+    // Returns how many of `count` tasks can start within the account's cap. A gang starts
+    // whole or not at all.
     fn within_cap(&self, state: &State, job: &Job, spec: &StepSpec, count: usize) -> usize {
         let Some(key) = job.account else {
             return count;
@@ -247,7 +250,8 @@
         (0..=count).rev().find(fits).unwrap_or(0)
     }
 
-    // How many tasks of a step each worker has, where that is limited.
+    // Returns the number of the step's tasks on each worker, or nothing if the step has no
+    // limit for each worker.
     fn present(&self, state: &State, name: StepName, spec: &StepSpec) -> HashMap<WorkerKey, u16> {
         let mut present = HashMap::new();
         if spec.most_per_worker == 0 {
@@ -329,7 +333,7 @@
         }
     }
 
-    /// Undoes [`Lead::reserve`] once a start is committed.
+    /// Releases the reservation of a task once its start is committed.
     pub(super) fn unreserve(&mut self, task: TaskName) {
         let Some(worker) = self.placing.remove(&task) else {
             return;
@@ -368,7 +372,8 @@
     }
 }
 
-// Workers of the job's service with the step's label, found once a round.
+// Returns the workers of the job's service that have the step's label. The result is cached
+// for the round.
 fn eligible(state: &State, round: &mut Round, job: &Job, spec: &StepSpec) -> Rc<Vec<WorkerKey>> {
     let service = state.service_of(job.queue);
     let key = (service.to_owned(), spec.label.clone());
@@ -392,7 +397,8 @@
     found
 }
 
-// Accounts that use more than their weighted share of the processors in use.
+// Returns for each account whether it uses more than its weighted fair share of the
+// processors in use.
 fn over_share(state: &State) -> Vec<bool> {
     let used: Vec<f64> = state.account_use.iter().map(|u| u.cpu as f64).collect();
     let total: f64 = used.iter().sum();
