--- a/tests/lasting.rs
+++ b/tests/lasting.rs
@@ -1,5 +1,4 @@
-//! Work that lasts: its tasks are at work again soon after each end, whatever else
-//! waits.
+//! Long-running tasks: each is running again soon after it ends, whatever else waits.
 
 #[path = "support/plane.rs"]
 mod support;
@@ -19,11 +18,11 @@
     each_ms: 0.13,
     valid_ms: 2_500,
 };
-/// Longest time that a lasting task may be away while there is room twice over: what the
-/// users' platform says.
+/// Maximum time that a long-running task may be down while the fleet has twice the capacity
+/// it needs, as the users' platform requires.
 const GAP_MAX_MS: u64 = 3_000;
 
-// Permission for one worker of three.
+// Returns a fleet with permits on one worker of three.
 fn cell(seed: u64, workers: usize, askers: u64) -> Cell {
     let queues = vec![
         queue("urgent", 0, Some(QUICK)),
@@ -48,7 +47,8 @@
     }
 }
 
-// Milliseconds that tasks were away, those that still are included.
+// Returns the sorted times in milliseconds that tasks waited for each of their starts,
+// including those of tasks that still wait.
 fn gaps(cell: &Cell) -> Vec<u64> {
     let away = cell.away.values().map(|since| cell.now - since);
     let mut gaps: Vec<u64> = cell.gaps.iter().map(|(_, gap)| *gap).chain(away).collect();
@@ -67,8 +67,9 @@
     );
 }
 
-// The first question grants nine workers, and each may have one task of the step. Those
-// that have one already are no place for the others.
+// Guards against a step that stops requesting permits although the permitted workers are at
+// its limit of one task per worker. The first permission request grants nine workers, too few
+// for 15 tasks.
 #[test]
 fn a_step_with_a_limit_per_worker_finds_further_workers() {
     let mut cell = cell(1, 60, 13);
@@ -83,8 +84,8 @@
     assert_eq!(cell.starts_of(2), 15);
 }
 
-// Load: 40 lasting jobs of 20 tasks, a tenth of which fail every 6 s, beside gangs that
-// wait for room and urgent bursts, on 350 workers.
+// Guards against long-running tasks that wait behind gangs and urgent bursts after a failure.
+// 350 workers run 40 long-running jobs of 20 tasks, a tenth of which fail every 6 s.
 #[test]
 fn lasting_tasks_come_back_beside_gangs_and_bursts() {
     let mut cell = cell(2, 350, 33);
@@ -113,7 +114,8 @@
     assert_short(&cell);
 }
 
-// Workers crash and come back under their ids, and a new leader takes over between.
+// Guards against long-running tasks that are lost when workers crash and restart under the
+// same ids and a new leader takes over in between.
 #[test]
 fn lasting_tasks_come_back_after_a_take_over() {
     let mut cell = cell(3, 60, 13);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Load of a fleet of 1,100 workers: what callers get.
+//! Response-time goals met under load on a fleet of 1,100 workers.
 
 #[path = "support/plane.rs"]
 mod support;
@@ -11,13 +11,13 @@
 use support::{Cell, queue, tasks};
 
 const SECONDS: u64 = 36;
-/// Steps of a millisecond between two arrivals of gangs: 8.3 a second.
+/// Interval between gang jobs, in steps of 1 ms: 8.3 jobs per second.
 const GANG_EVERY: u64 = 120;
-/// The same of wide jobs: 11 a second.
+/// Interval between wide jobs: 11 jobs per second.
 const WIDE_EVERY: u64 = 90;
-/// The same of urgent jobs: 166 a second.
+/// Interval between urgent jobs: 166 jobs per second.
 const URGENT_EVERY: u64 = 6;
-/// Time between two waves of workers that leave.
+/// Interval between waves of departing workers.
 const LEAVE_EVERY: u64 = 4_000;
 
 fn terms(decide_ms: f64, each_ms: f64) -> Option<Permission> {
@@ -44,12 +44,12 @@
     ]
 }
 
-/// How much comes.
+/// Offered load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Load {
-    /// Four fifths of what the fleet can do.
+    /// 80% of the fleet's capacity.
     Usual,
-    /// More than it can do for some seconds, and workers leave.
+    /// Bursts above the fleet's capacity, while a fifth of the workers departs.
     Over,
 }
 
@@ -94,14 +94,16 @@
         }
     }
 
-    // A size around `mean` with many small ones and few that are five times as large.
+    // Draws a task count from a distribution with the given mean, mostly small counts and a
+    // few of up to five times the mean.
     fn width(&mut self, mean: u64) -> u16 {
         let product = (1 + self.cell.draw(10)) * (1 + self.cell.draw(10)) * (1 + self.cell.draw(5));
         (product * mean / 90).clamp(2, 5 * mean) as u16
     }
 
-    // A step of `count` tasks of about `cores` cores and `memory` megabytes, whose time is
-    // estimated at half to one and a half times what it is.
+    // Returns a step of `count` tasks of about `cores` cores and `memory` megabytes. Cores,
+    // memory and the estimated run time vary from half to one and a half times the given value;
+    // `ms` is the actual run time.
     fn step(&mut self, count: u16, cores: u64, memory: u64, ms: u64) -> StepSpec {
         let mut vary = |mean: u64| (mean / 2 + self.cell.draw(mean)) as i64;
         StepSpec {
@@ -163,7 +165,7 @@
 
     fn play(&mut self, load: Load) {
         for ms in 0..SECONDS * 1_000 {
-            // Gangs come at almost twice their rate for some seconds.
+            // Bursts in which gangs arrive at almost twice their usual rate.
             let in_burst = load == Load::Over
                 && ((12_000..16_000).contains(&ms) || (24_000..26_000).contains(&ms));
             let gang_every = if in_burst {
@@ -180,7 +182,7 @@
             if ms.is_multiple_of(URGENT_EVERY) {
                 self.urgent();
             }
-            // One worker of five leaves, in three waves.
+            // One worker in five departs, in three waves.
             let leaves = load == Load::Over && ms.is_multiple_of(LEAVE_EVERY);
             if leaves && ms / LEAVE_EVERY < 3 {
                 let first = (ms / LEAVE_EVERY) as usize * 5;
@@ -193,7 +195,7 @@
         self.cell.run_for(14_000);
     }
 
-    // Part of the jobs that ended within their goal.
+    // Returns the share of the jobs that completed within their goal.
     fn in_time(&self, jobs: &[Sent]) -> f64 {
         let is_in_time = |job: &&Sent| {
             let end = self.cell.completed.get(&JobId(job.id));
@@ -203,8 +205,9 @@
     }
 }
 
-// The largest tenth of the gangs are served at least 0.7 times as often as all of them, and
-// urgent jobs do not pay for it.
+// Guards against starvation of large gangs, which happens when smaller work takes each free
+// slot before a large gang fits. The largest tenth of the gangs must meet their goals at
+// least 0.7 times as often as all gangs, and 95% of the urgent jobs must meet theirs.
 fn large_gangs_are_served(seed: u64, load: Load) {
     let mut day = Day::new(seed);
     day.play(load);
