--- a/src/core/plane/lead/order.rs
+++ b/src/core/plane/lead/order.rs
@@ -9,13 +9,13 @@
 use serde::Serialize;
 
 /// Multiple of the response-time goal after which a job's result is worthless.
-const LATE_MAX: f64 = 3.0;
+const WORTHLESS_GOAL_MULTIPLE: f64 = 3.0;
 /// Share of the estimated remaining time that counts when deciding whether a job is late.
 /// Estimates are up to twice the real run time, and an overestimate must not demote a job.
-const REMAINING_TRUST: f64 = 0.6;
+const REMAINING_TIME_SHARE: f64 = 0.6;
 /// Time by which the rank of long-running work is moved ahead, in milliseconds: one day,
 /// longer than any response-time goal.
-const LASTING_LEAD_MS: i64 = 24 * 3_600 * 1_000;
+const LONG_RUNNING_LEAD_MS: i64 = 24 * 3_600 * 1_000;
 
 /// Sort key of a waiting step: the lowest rank is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -34,26 +34,26 @@
 impl Rank {
     /// Ranks a step of long-running tasks: ahead of all other steps, the oldest first. Such a
     /// step is guaranteed its tasks until its job is cancelled, whatever else waits.
-    pub const fn lasting(since_ms: u64) -> Self {
+    pub const fn long_running(since_ms: u64) -> Self {
         Self {
             lateness: 0,
             priority: 0,
             over_share: false,
-            latest_start_ms: since_ms as i64 - LASTING_LEAD_MS,
+            latest_start_ms: since_ms as i64 - LONG_RUNNING_LEAD_MS,
         }
     }
 }
 
 /// Timing of a job from which its rank is computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Age {
+pub struct Timing {
     /// When the occurrence was due or, without a due time, the job was accepted, in
     /// milliseconds since 1970.
     pub since_ms: u64,
     /// Estimated run time of the critical path, in milliseconds.
-    pub chain_ms: f64,
+    pub critical_path_ms: f64,
     /// Estimated run time of what remains of the critical path, in milliseconds.
-    pub left_ms: f64,
+    pub remaining_ms: f64,
     /// Response-time goal as a multiple of the critical path; at least 1 is used.
     pub stretch: f64,
     /// Fixed part of the response-time goal, in milliseconds.
@@ -61,22 +61,26 @@
 }
 
 /// Ranks a step at the wall-clock time `wall_ms`, in milliseconds since 1970.
-pub fn rank(wall_ms: u64, age: Age, priority: u32, over_share: bool) -> Rank {
-    let goal = age.stretch.max(1.0) * age.chain_ms + age.goal_ms as f64;
-    let passed = wall_ms as f64 - age.since_ms as f64;
-    let end = passed + age.left_ms * REMAINING_TRUST;
-    let lateness = if end <= goal {
+pub fn rank(wall_ms: u64, timing: Timing, priority: u32, over_share: bool) -> Rank {
+    let goal = timing.stretch.max(1.0) * timing.critical_path_ms + timing.goal_ms as f64;
+    let elapsed = wall_ms as f64 - timing.since_ms as f64;
+    let expected_response = elapsed + timing.remaining_ms * REMAINING_TIME_SHARE;
+    let lateness = if expected_response <= goal {
         0
-    } else if end <= goal * LATE_MAX {
+    } else if expected_response <= goal * WORTHLESS_GOAL_MULTIPLE {
         1
     } else {
         2
     };
-    let due = if lateness == 0 { goal } else { goal * LATE_MAX };
+    let limit = if lateness == 0 {
+        goal
+    } else {
+        goal * WORTHLESS_GOAL_MULTIPLE
+    };
     Rank {
         lateness,
         priority,
         over_share,
-        latest_start_ms: (age.since_ms as f64 + due - age.left_ms) as i64,
+        latest_start_ms: (timing.since_ms as f64 + limit - timing.remaining_ms) as i64,
     }
 }
--- a/src/core/plane/lead/permits.rs
+++ b/src/core/plane/lead/permits.rs
@@ -18,33 +18,33 @@
 const PERMIT_MARGIN: Duration = Duration::from_millis(150);
 /// Time added to the instance's queueing delay and twice the expected duration of a request
 /// for its timeout.
-const ANSWER_SLACK: Duration = Duration::from_millis(700);
+const TIMEOUT_SLACK: Duration = Duration::from_millis(700);
 /// An instance whose request failed gets no further requests for this long.
-const ASKER_PAUSE: Duration = Duration::from_millis(500);
+const REQUESTER_PAUSE: Duration = Duration::from_millis(500);
 /// Expected duration from which a request counts as slow: the fixed part of most
 /// response-time goals.
-pub const SLOW_MIN: Duration = Duration::from_millis(200);
+pub const SLOW_REQUEST_MIN: Duration = Duration::from_millis(200);
 /// Share of the instances that may have slow requests in flight, so that the others are free
 /// for quick ones.
-const SLOW_SHARE: f64 = 0.6;
+const SLOW_REQUESTER_SHARE: f64 = 0.6;
 /// Maximum number of slow requests in flight for one step. With the permission costs of the
 /// first users, 8 requests name about 550 workers, of which 190 may run the step: enough for
 /// a gang of 130 tasks.
-const PARTS_MAX: usize = 8;
+const SLOW_REQUESTS_PER_STEP_MAX: usize = 8;
 /// Number of idle instances required for each slow request of a step, so that two other
 /// steps find an idle instance as well.
-const IDLE_PER_PART: usize = 3;
+const IDLE_REQUESTERS_PER_REQUEST: usize = 3;
 /// Maximum queueing delay of a quick request at the instance that sends it.
-const TURN_MAX: Duration = Duration::from_millis(100);
+const QUEUEING_DELAY_MAX: Duration = Duration::from_millis(100);
 /// Maximum number of workers in one request; a limit of the permission service.
-pub const NAMED_MAX: usize = 100;
+pub const WORKERS_PER_REQUEST_MAX: usize = 100;
 /// Minimum number of workers in the first request of a step.
-const NAMED_MIN: usize = 8;
+const WORKERS_PER_REQUEST_MIN: usize = 8;
 /// Maximum cost of the named workers as a share of the fixed cost of a request.
-const NAMING_SHARE: f64 = 0.4;
+const WORKER_COST_SHARE: f64 = 0.4;
 /// The same share for gangs, which need more workers because the granted ones must have room
 /// for all tasks at once.
-const NAMING_SHARE_GANG: f64 = 1.0;
+const GANG_WORKER_COST_SHARE: f64 = 1.0;
 
 /// Permit to run a step on a worker.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,43 +52,43 @@
     /// Opaque text of the permit, passed on to the worker with the start.
     pub text: String,
     /// Time from which the permit must not be used.
-    pub until: Moment,
+    pub expires_at: Moment,
 }
 
 /// Answers and requests of one step.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct StepPermits {
     /// Workers that may run the step, with the latest permit, which may have expired.
     pub good: BTreeMap<WorkerKey, Permit>,
     /// Workers that may not run the step.
-    pub bad: BTreeSet<WorkerKey>,
+    pub denied: BTreeSet<WorkerKey>,
     /// Number of requests in flight.
-    pub asking: u32,
+    pub in_flight: u32,
     /// Earliest time of the next request, after a failure or a deferral.
     pub retry_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asker {
+struct Requester {
     busy_until: Moment,
     /// Number of slow requests in flight.
-    slow: u32,
+    slow_in_flight: u32,
 }
 
-impl Asker {
+impl Requester {
     fn is_idle(&self, now: Moment) -> bool {
-        self.slow == 0 && self.busy_until <= now
+        self.slow_in_flight == 0 && self.busy_until <= now
     }
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct InFlight {
     step: StepName,
-    asker: InstanceId,
-    named: Vec<WorkerKey>,
+    requester: InstanceId,
+    workers: Vec<WorkerKey>,
     sent_at: Moment,
-    expires: Moment,
-    valid: Duration,
+    times_out_at: Moment,
+    validity: Duration,
     is_slow: bool,
 }
 
@@ -108,24 +108,24 @@
 /// Permits and permission requests of a leader.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
-    steps: HashMap<StepName, Known>,
-    askers: BTreeMap<InstanceId, Asker>,
-    open: HashMap<u64, Open>,
+    steps: HashMap<StepName, StepPermits>,
+    requesters: BTreeMap<InstanceId, Requester>,
+    in_flight: HashMap<u64, InFlight>,
 }
 
 /// Returns the number of workers to name in the first request of a step. Their cost is at
 /// most a set share of the fixed cost of the request.
 pub fn named_count(terms: Permission, gang: bool) -> usize {
     if terms.each_ms <= 0.0 {
-        return NAMED_MAX;
+        return WORKERS_PER_REQUEST_MAX;
     }
     let share = if gang {
-        NAMING_SHARE_GANG
+        GANG_WORKER_COST_SHARE
     } else {
-        NAMING_SHARE
+        WORKER_COST_SHARE
     };
     let affordable = terms.decide_ms * share / terms.each_ms;
-    (affordable as usize).clamp(NAMED_MIN, NAMED_MAX)
+    (affordable as usize).clamp(WORKERS_PER_REQUEST_MIN, WORKERS_PER_REQUEST_MAX)
 }
 
 /// Returns the expected duration of a request that names `named` workers.
@@ -136,48 +136,49 @@
 
 impl Permits {
     /// Replaces the set of instances that can send requests.
-    pub fn set_askers(&mut self, askers: &[InstanceId]) {
-        self.askers.retain(|id, _| askers.contains(id));
-        for id in askers {
-            self.askers.entry(*id).or_insert(Asker {
+    pub fn set_askers(&mut self, instances: &[InstanceId]) {
+        self.requesters.retain(|id, _| instances.contains(id));
+        for id in instances {
+            self.requesters.entry(*id).or_insert(Requester {
                 busy_until: Moment::ZERO,
-                slow: 0,
+                slow_in_flight: 0,
             });
         }
     }
 
     /// Returns the answers and requests of a step, if it has any.
-    pub fn known(&self, step: StepName) -> Option<&Known> {
+    pub fn known(&self, step: StepName) -> Option<&StepPermits> {
         self.steps.get(&step)
     }
 
     /// Returns the permit of a step for a worker, if it is valid at `now`.
     pub fn valid(&self, now: Moment, step: StepName, worker: WorkerKey) -> Option<&Permit> {
         let permit = self.steps.get(&step)?.good.get(&worker)?;
-        (now < permit.until).then_some(permit)
+        (now < permit.expires_at).then_some(permit)
     }
 
     /// Defers the next request of a step until at least `until`.
     pub fn defer(&mut self, step: StepName, until: Moment) {
-        let known = self.steps.entry(step).or_default();
-        known.retry_at = known.retry_at.max(until);
+        let step_permits = self.steps.entry(step).or_default();
+        step_permits.retry_at = step_permits.retry_at.max(until);
     }
 
     /// Returns whether a request of the step is in flight or its next request is deferred.
     pub fn is_waiting(&self, now: Moment, step: StepName) -> bool {
-        let known = self.steps.get(&step);
-        known.is_some_and(|known| known.asking > 0 || now < known.retry_at)
+        let step_permits = self.steps.get(&step);
+        step_permits
+            .is_some_and(|step_permits| step_permits.in_flight > 0 || now < step_permits.retry_at)
     }
 
     /// Returns the workers for which the step has a permit that is valid at `now`.
     pub fn valid_workers(&self, now: Moment, step: StepName) -> Vec<WorkerKey> {
-        let Some(known) = self.steps.get(&step) else {
+        let Some(step_permits) = self.steps.get(&step) else {
             return Vec::new();
         };
-        known
+        step_permits
             .good
             .iter()
-            .filter(|(_, permit)| now < permit.until)
+            .filter(|(_, permit)| now < permit.expires_at)
             .map(|(&key, _)| key)
             .collect()
     }
@@ -185,47 +186,50 @@
     /// Expires a permit that a worker refused. The worker still counts as permitted, so that
     /// the permit is requested again.
     pub fn revoke(&mut self, step: StepName, worker: WorkerKey) {
-        if let Some(known) = self.steps.get_mut(&step)
-            && let Some(permit) = known.good.get_mut(&worker)
+        if let Some(step_permits) = self.steps.get_mut(&step)
+            && let Some(permit) = step_permits.good.get_mut(&worker)
         {
-            permit.until = Moment::ZERO;
+            permit.expires_at = Moment::ZERO;
         }
     }
 
     /// Drops the steps for which `keep` returns false, except those with requests in flight.
     pub fn retain(&mut self, keep: impl Fn(StepName) -> bool) {
         self.steps
-            .retain(|step, known| known.asking > 0 || keep(*step));
+            .retain(|step, step_permits| step_permits.in_flight > 0 || keep(*step));
     }
 
     /// Returns whether an instance can send a request at `now`.
-    pub fn can_ask(&self, now: Moment, is_slow: bool) -> bool {
-        self.choose(now, is_slow).is_some()
+    pub fn has_requester(&self, now: Moment, is_slow: bool) -> bool {
+        self.choose_requester(now, is_slow).is_some()
     }
 
     /// Returns how many instances can send a slow request at `now`.
-    pub fn idle(&self, now: Moment) -> usize {
-        self.slow_askers().filter(|(_, a)| a.is_idle(now)).count()
+    pub fn idle_requesters(&self, now: Moment) -> usize {
+        self.slow_requesters()
+            .filter(|(_, r)| r.is_idle(now))
+            .count()
     }
 
     /// Returns how many slow requests one step may have in flight: a fraction of the idle
     /// instances, so that other steps find an idle instance as well.
-    pub fn parts(&self, now: Moment) -> usize {
-        (self.idle(now) / IDLE_PER_PART).clamp(1, PARTS_MAX)
+    pub fn parallel_requests(&self, now: Moment) -> usize {
+        (self.idle_requesters(now) / IDLE_REQUESTERS_PER_REQUEST)
+            .clamp(1, SLOW_REQUESTS_PER_STEP_MAX)
     }
 
     /// Estimates the share of workers that may run a step from the answers so far, starting
     /// at one half.
-    pub fn granted_share(&self, step: StepName) -> f64 {
-        let known = self.steps.get(&step);
-        let (good, bad) = known.map_or((0, 0), |k| (k.good.len(), k.bad.len()));
-        (good + 1) as f64 / (good + bad + 2) as f64
+    pub fn grant_share(&self, step: StepName) -> f64 {
+        let step_permits = self.steps.get(&step);
+        let (permitted, denied) = step_permits.map_or((0, 0), |p| (p.good.len(), p.denied.len()));
+        (permitted + 1) as f64 / (permitted + denied + 2) as f64
     }
 
     /// Creates a request for permits on the named workers and returns it with the instance
     /// that sends it. Returns `None` if no instance can send one. Workers beyond the limit of
     /// one request are left out.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: Moment,
         number: u64,
@@ -236,25 +240,25 @@
         if named.is_empty() {
             return None;
         }
-        let cost = expected(terms, named.len().min(NAMED_MAX));
-        let is_slow = cost >= SLOW_MIN;
-        let asker = self.choose(now, is_slow)?;
-        let at = self.askers.get_mut(&asker)?;
-        at.busy_until = at.busy_until.max(now) + cost;
-        at.slow += u32::from(is_slow);
-        self.steps.entry(step).or_default().asking += 1;
-        let timeout = at.busy_until.since(now) + cost + ANSWER_SLACK;
+        let cost = expected(terms, named.len().min(WORKERS_PER_REQUEST_MAX));
+        let is_slow = cost >= SLOW_REQUEST_MIN;
+        let requester = self.choose_requester(now, is_slow)?;
+        let entry = self.requesters.get_mut(&requester)?;
+        entry.busy_until = entry.busy_until.max(now) + cost;
+        entry.slow_in_flight += u32::from(is_slow);
+        self.steps.entry(step).or_default().in_flight += 1;
+        let timeout = entry.busy_until.since(now) + cost + TIMEOUT_SLACK;
         let (keys, workers): (Vec<WorkerKey>, Vec<String>) =
-            named.into_iter().take(NAMED_MAX).unzip();
-        self.open.insert(
+            named.into_iter().take(WORKERS_PER_REQUEST_MAX).unzip();
+        self.in_flight.insert(
             number,
-            Open {
+            InFlight {
                 step,
-                asker,
-                named: keys,
+                requester,
+                workers: keys,
                 sent_at: now,
-                expires: now + timeout,
-                valid: Duration::from_millis(terms.valid_ms),
+                times_out_at: now + timeout,
+                validity: Duration::from_millis(terms.valid_ms),
                 is_slow,
             },
         );
@@ -264,27 +268,27 @@
             workers,
             timeout_ms: timeout.as_millis() as u64,
         };
-        Some((asker, question))
+        Some((requester, question))
     }
 
     // Chooses the instance that can send a request first. Slow requests are not queued, and
     // only a fixed share of the instances sends them, so that quick requests rarely wait
     // behind slow ones.
-    fn choose(&self, now: Moment, is_slow: bool) -> Option<InstanceId> {
+    fn choose_requester(&self, now: Moment, is_slow: bool) -> Option<InstanceId> {
         if is_slow {
-            let idle = self.slow_askers().find(|(_, a)| a.is_idle(now));
+            let idle = self.slow_requesters().find(|(_, r)| r.is_idle(now));
             return idle.map(|(&id, _)| id);
         }
-        let (&id, asker) = self
-            .askers
+        let (&id, requester) = self
+            .requesters
             .iter()
-            .min_by_key(|(_, a)| (a.busy_until.max(now), a.slow))?;
-        (asker.busy_until <= now + TURN_MAX).then_some(id)
+            .min_by_key(|(_, r)| (r.busy_until.max(now), r.slow_in_flight))?;
+        (requester.busy_until <= now + QUEUEING_DELAY_MAX).then_some(id)
     }
 
-    fn slow_askers(&self) -> impl Iterator<Item = (&InstanceId, &Asker)> {
-        let most = (self.askers.len() as f64 * SLOW_SHARE).ceil() as usize;
-        self.askers.iter().take(most)
+    fn slow_requesters(&self) -> impl Iterator<Item = (&InstanceId, &Requester)> {
+        let count = (self.requesters.len() as f64 * SLOW_REQUESTER_SHARE).ceil() as usize;
+        self.requesters.iter().take(count)
     }
 
     /// Records the answer to a request; `None` for `granted` means that the request failed.
@@ -295,52 +299,55 @@
         number: u64,
         granted: Option<Vec<(WorkerKey, String)>>,
     ) -> Option<Finished> {
-        let open = self.open.remove(&number)?;
-        let took = now.since(open.sent_at);
-        if let Some(asker) = self.askers.get_mut(&open.asker)
-            && open.is_slow
+        let request = self.in_flight.remove(&number)?;
+        let took = now.since(request.sent_at);
+        if let Some(requester) = self.requesters.get_mut(&request.requester)
+            && request.is_slow
         {
-            asker.slow = asker.slow.saturating_sub(1);
-            asker.busy_until = asker.busy_until.min(now);
+            requester.slow_in_flight = requester.slow_in_flight.saturating_sub(1);
+            requester.busy_until = requester.busy_until.min(now);
         }
-        let known = self.steps.entry(open.step).or_default();
-        known.asking = known.asking.saturating_sub(1);
+        let step_permits = self.steps.entry(request.step).or_default();
+        step_permits.in_flight = step_permits.in_flight.saturating_sub(1);
         let finished = Finished {
-            step: open.step,
-            named: open.named.len(),
+            step: request.step,
+            named: request.workers.len(),
             granted: granted.as_ref().map(Vec::len),
             took,
         };
         let Some(granted) = granted else {
-            known.retry_at = now + ASKER_PAUSE / 5;
-            if let Some(asker) = self.askers.get_mut(&open.asker) {
-                asker.busy_until = asker.busy_until.max(now + ASKER_PAUSE);
+            step_permits.retry_at = now + REQUESTER_PAUSE / 5;
+            if let Some(requester) = self.requesters.get_mut(&request.requester) {
+                requester.busy_until = requester.busy_until.max(now + REQUESTER_PAUSE);
             }
             return Some(finished);
         };
-        let life = open.valid.saturating_sub(PERMIT_MARGIN);
-        for worker in &open.named {
-            if !granted.iter().any(|(good, _)| good == worker) {
-                known.bad.insert(*worker);
-                known.good.remove(worker);
+        let lifetime = request.validity.saturating_sub(PERMIT_MARGIN);
+        for worker in &request.workers {
+            if !granted.iter().any(|(permitted, _)| permitted == worker) {
+                step_permits.denied.insert(*worker);
+                step_permits.good.remove(worker);
             }
         }
         for (worker, text) in granted {
-            let until = now + life;
-            known.good.insert(worker, Permit { text, until });
+            let expires_at = now + lifetime;
+            step_permits
+                .good
+                .insert(worker, Permit { text, expires_at });
         }
         Some(finished)
     }
 
     /// Fails the requests that have reached their timeout.
     pub fn expire(&mut self, now: Moment) -> Vec<Finished> {
-        let late: Vec<u64> = self
-            .open
+        let timed_out: Vec<u64> = self
+            .in_flight
             .iter()
-            .filter(|(_, open)| now >= open.expires)
+            .filter(|(_, request)| now >= request.times_out_at)
             .map(|(&number, _)| number)
             .collect();
-        late.into_iter()
+        timed_out
+            .into_iter()
             .filter_map(|number| self.take(now, number, None))
             .collect()
     }
--- a/src/core/plane/lead/place.rs
+++ b/src/core/plane/lead/place.rs
@@ -13,25 +13,25 @@
 
 /// Placement cost of a slow worker, in thousandths of a core, for each multiple of the
 /// expected run time by which the worker is slower.
-const SLOW_COST: f64 = 24_000.0;
+const SLOWNESS_COST_MILLICORES: f64 = 24_000.0;
 /// Placement cost of each point of a worker's failure score, in thousandths of a core.
-const FAILURE_COST: f64 = 16_000.0;
+const FAILURE_COST_MILLICORES: f64 = 16_000.0;
 /// Placement cost of a rack without the step's data, in thousandths of a core, for each
 /// multiple of the expected run time by which tasks are slower there.
-const FAR_COST: f64 = 24_000.0;
+const REMOTE_COST_MILLICORES: f64 = 24_000.0;
 
 /// Share of a worker that a task of a typical gang takes: 9 of 32 cores. Where less than
 /// this is free, all of it may be reserved for urgent work.
-const LARGE_SHARE: f64 = 0.28;
+const LARGE_TASK_SHARE: f64 = 0.28;
 /// Maximum share reserved for urgent work on a worker with room for a large task. A larger
 /// reserve would leave a worker with room for only two large tasks instead of three.
-const URGENT_SHARE_MAX: f64 = 0.15;
+const URGENT_RESERVE_SHARE_MAX: f64 = 0.15;
 /// Minimum free processors on a worker for a reserve for urgent work, in thousandths of a
 /// core: the size of a small task.
-const URGENT_PLACE: i64 = 2_000;
+const URGENT_RESERVE_MIN_MILLICORES: i64 = 2_000;
 
 /// Upper bound on the number of tasks counted for one worker.
-const COUNTED_MAX: u16 = 64;
+const COUNTED_TASKS_MAX: u16 = 64;
 
 /// A worker as a placement target.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -42,131 +42,134 @@
     pub free: Amount,
     /// Free capacity for work that is not urgent: excludes the reserves for urgent work and
     /// for waiting gangs, and is negative if they exceed what is free.
-    pub free_later: Amount,
+    pub free_non_urgent: Amount,
     /// Number of the worker's rack.
     pub rack: u32,
     /// Run time as a multiple of the expected run time.
     pub slowness: f64,
     /// Score of recent failures; higher is worse.
-    pub failures: f64,
+    pub failure_score: f64,
     /// Whether the worker runs a task that serves requests.
     pub serving: bool,
     /// Whether the worker runs a best-effort task, which uses only processor time that other
     /// tasks leave idle.
-    pub filling: bool,
+    pub best_effort: bool,
 }
 
 /// Resources and constraints of the tasks to place, all of one step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Candidate {
     /// Capacity that each task takes.
-    pub room: Amount,
+    pub resources: Amount,
     /// Whether the tasks may use capacity reserved for urgent work and for waiting gangs.
     pub urgent: bool,
     /// Rack that holds the step's data.
     pub data_rack: Option<u32>,
     /// Run time on other racks as a multiple of the run time on the data's rack.
-    pub far: f64,
+    pub slowdown: f64,
     /// Maximum number of the step's tasks on one worker.
-    pub most: Option<u16>,
+    pub max_per_worker: Option<u16>,
     /// Whether to prefer placing all tasks on one rack.
-    pub one_rack: bool,
+    pub single_rack: bool,
     /// Whether the tasks serve requests.
     pub serving: bool,
     /// Whether the tasks are best-effort, using only processor time that others leave idle.
-    pub filling: bool,
+    pub best_effort: bool,
 }
 
 /// The workers that may get work in one planning round.
 #[derive(Clone, Debug, Default)]
 pub struct Seats {
     /// Indexed by worker key; `None` for workers that get no work in this round.
-    seats: Vec<Option<Seat>>,
+    targets: Vec<Option<Seat>>,
     /// Number of workers examined so far, which bounds the time of a round.
-    work: Cell<u32>,
+    examined: Cell<u32>,
 }
 
 impl Seats {
     /// Adds a worker, or replaces it if its key is already present.
-    pub fn add(&mut self, worker: WorkerKey, seat: Seat) {
-        let at = worker.0 as usize;
-        if self.seats.len() <= at {
-            self.seats.resize(at + 1, None);
+    pub fn insert(&mut self, worker: WorkerKey, target: Seat) {
+        let index = worker.0 as usize;
+        if self.targets.len() <= index {
+            self.targets.resize(index + 1, None);
         }
-        self.seats[at] = Some(seat);
+        self.targets[index] = Some(target);
     }
 
     /// Returns the worker with this key, if it may get work.
     pub fn get(&self, worker: WorkerKey) -> Option<&Seat> {
-        self.seats.get(worker.0 as usize)?.as_ref()
+        self.targets.get(worker.0 as usize)?.as_ref()
     }
 
     fn get_mut(&mut self, worker: WorkerKey) -> Option<&mut Seat> {
-        self.seats.get_mut(worker.0 as usize)?.as_mut()
+        self.targets.get_mut(worker.0 as usize)?.as_mut()
     }
 
     /// Iterates over the workers in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerKey, &Seat)> {
         (0..)
             .map(WorkerKey)
-            .zip(&self.seats)
-            .filter_map(|(key, seat)| Some((key, seat.as_ref()?)))
+            .zip(&self.targets)
+            .filter_map(|(key, target)| Some((key, target.as_ref()?)))
     }
 
     /// Returns the number of workers examined so far.
-    pub const fn work(&self) -> u32 {
-        self.work.get()
+    pub const fn examined(&self) -> u32 {
+        self.examined.get()
     }
 
     /// Adds to the number of examined workers.
-    pub fn count(&self, workers: usize) {
-        self.work
-            .set(self.work.get().saturating_add(workers as u32));
+    pub fn add_examined(&self, workers: usize) {
+        self.examined
+            .set(self.examined.get().saturating_add(workers as u32));
     }
 
     /// Allocates the capacity for one task on a worker.
-    pub fn take(&mut self, worker: WorkerKey, what: &Candidate) {
-        if let Some(seat) = self.get_mut(worker) {
-            seat.free -= what.room;
-            seat.free_later -= what.room;
-            seat.serving |= what.serving;
-            seat.filling |= what.filling;
+    pub fn allocate(&mut self, worker: WorkerKey, required: &Candidate) {
+        if let Some(target) = self.get_mut(worker) {
+            target.free -= required.resources;
+            target.free_non_urgent -= required.resources;
+            target.serving |= required.serving;
+            target.best_effort |= required.best_effort;
         }
     }
 
-    fn fits(seat: &Seat, what: &Candidate) -> bool {
-        let free = if what.urgent {
-            &seat.free
+    fn fits(target: &Seat, required: &Candidate) -> bool {
+        let free = if required.urgent {
+            &target.free
         } else {
-            &seat.free_later
+            &target.free_non_urgent
         };
         // Best-effort tasks would slow down serving tasks, so the two never share a
         // worker.
-        what.room.fits(free) && !(what.serving && seat.filling || what.filling && seat.serving)
+        required.resources.fits(free)
+            && !(required.serving && target.best_effort || required.best_effort && target.serving)
     }
 
     /// Returns how many tasks fit in the free capacity of a worker.
-    pub fn room_for(&self, worker: WorkerKey, what: &Candidate) -> usize {
-        let Some(seat) = self.get(worker) else {
+    pub fn fit_count(&self, worker: WorkerKey, required: &Candidate) -> usize {
+        let Some(target) = self.get(worker) else {
             return 0;
         };
-        let most = what.most.unwrap_or(COUNTED_MAX);
-        let mut seat = seat.clone();
+        let max = required.max_per_worker.unwrap_or(COUNTED_TASKS_MAX);
+        let mut target = target.clone();
         let mut count = 0;
-        while count < usize::from(most) && Self::fits(&seat, what) {
-            seat.free -= what.room;
-            seat.free_later -= what.room;
+        while count < usize::from(max) && Self::fits(&target, required) {
+            target.free -= required.resources;
+            target.free_non_urgent -= required.resources;
             count += 1;
         }
-        self.count(1 + count);
+        self.add_examined(1 + count);
         count
     }
 
     /// Returns how many tasks would fit on the workers if they were empty.
-    pub fn holds(&self, workers: &[WorkerKey], what: &Candidate) -> usize {
-        self.count(workers.len());
-        let seats = workers.iter().filter_map(|&key| self.get(key));
-        seats.map(|seat| places(&seat.capacity, what)).sum()
+    pub fn empty_fit_count(&self, workers: &[WorkerKey], required: &Candidate) -> usize {
+        self.add_examined(workers.len());
+        let targets = workers.iter().filter_map(|&key| self.get(key));
+        targets
+            .map(|target| fit_count_in(&target.capacity, required))
+            .sum()
     }
 
     /// Selects workers among `allowed` for up to `count` tasks, given how many tasks of the
@@ -174,71 +177,72 @@
     /// nothing.
     pub fn find(
         &self,
-        what: &Candidate,
+        required: &Candidate,
         count: usize,
         allowed: &[WorkerKey],
-        present: &HashMap<WorkerKey, u16>,
+        existing: &HashMap<WorkerKey, u16>,
     ) -> Vec<WorkerKey> {
-        if what.one_rack
-            && let Some(found) = self.find_on_one_rack(what, count, allowed, present)
+        if required.single_rack
+            && let Some(found) = self.find_on_single_rack(required, count, allowed, existing)
         {
             return found;
         }
-        self.find_anywhere(what, count, allowed, present)
+        self.find_anywhere(required, count, allowed, existing)
     }
 
-    fn find_on_one_rack(
+    fn find_on_single_rack(
         &self,
-        what: &Candidate,
+        required: &Candidate,
         count: usize,
         allowed: &[WorkerKey],
-        present: &HashMap<WorkerKey, u16>,
+        existing: &HashMap<WorkerKey, u16>,
     ) -> Option<Vec<WorkerKey>> {
         let mut racks: BTreeMap<u32, Vec<WorkerKey>> = BTreeMap::new();
         for &key in allowed {
-            if let Some(seat) = self.get(key) {
-                racks.entry(seat.rack).or_default().push(key);
+            if let Some(target) = self.get(key) {
+                racks.entry(target.rack).or_default().push(key);
             }
         }
         racks
             .into_values()
-            .map(|keys| self.find_anywhere(what, count, &keys, present))
+            .map(|keys| self.find_anywhere(required, count, &keys, existing))
             .find(|found| found.len() == count)
     }
 
     fn find_anywhere(
         &self,
-        what: &Candidate,
+        required: &Candidate,
         count: usize,
         allowed: &[WorkerKey],
-        present: &HashMap<WorkerKey, u16>,
+        existing: &HashMap<WorkerKey, u16>,
     ) -> Vec<WorkerKey> {
-        let mut seats: Vec<(WorkerKey, Seat, u16)> = allowed
+        let mut targets: Vec<(WorkerKey, Seat, u16)> = allowed
             .iter()
             .filter_map(|&key| {
-                let seat = self.get(key)?;
-                Self::fits(seat, what).then(|| {
-                    let here = present.get(&key).copied().unwrap_or(0);
-                    (key, seat.clone(), here)
+                let target = self.get(key)?;
+                Self::fits(target, required).then(|| {
+                    let assigned = existing.get(&key).copied().unwrap_or(0);
+                    (key, target.clone(), assigned)
                 })
             })
             .collect();
-        self.count(allowed.len());
+        self.add_examined(allowed.len());
         let mut found = Vec::new();
         while found.len() < count {
-            self.count(seats.len());
-            let best = seats
+            self.add_examined(targets.len());
+            let best = targets
                 .iter_mut()
-                .filter(|(_, seat, here)| {
-                    what.most.is_none_or(|most| *here < most) && Self::fits(seat, what)
+                .filter(|(_, target, assigned)| {
+                    required.max_per_worker.is_none_or(|max| *assigned < max)
+                        && Self::fits(target, required)
                 })
-                .min_by(|a, b| cost(&a.1, what).total_cmp(&cost(&b.1, what)));
-            let Some((key, seat, here)) = best else {
+                .min_by(|a, b| cost(&a.1, required).total_cmp(&cost(&b.1, required)));
+            let Some((key, target, assigned)) = best else {
                 break;
             };
-            seat.free -= what.room;
-            seat.free_later -= what.room;
-            *here += 1;
+            target.free -= required.resources;
+            target.free_non_urgent -= required.resources;
+            *assigned += 1;
             found.push(*key);
         }
         found
@@ -250,83 +254,84 @@
     /// Urgent tasks of a few cores run beside gangs whose tasks take a third to almost half
     /// of a worker, and fit in the capacity that those leave free. Reserving the same share
     /// of every worker instead would leave no worker with room for two such gang tasks.
-    pub fn keep_for_urgent(&mut self, cpu: i64) {
-        let mut order: Vec<(i64, WorkerKey)> = self
+    pub fn reserve_for_urgent(&mut self, cpu: i64) {
+        let mut by_free_cpu: Vec<(i64, WorkerKey)> = self
             .iter()
-            .map(|(key, seat)| (seat.free.cpu, key))
-            .filter(|(free, _)| *free >= URGENT_PLACE)
+            .map(|(key, target)| (target.free.cpu, key))
+            .filter(|(free, _)| *free >= URGENT_RESERVE_MIN_MILLICORES)
             .collect();
-        order.sort_unstable();
-        let mut left = cpu;
-        for (free, key) in order {
-            if left <= 0 {
+        by_free_cpu.sort_unstable();
+        let mut remaining = cpu;
+        for (free, key) in by_free_cpu {
+            if remaining <= 0 {
                 return;
             }
-            let Some(seat) = self.get_mut(key) else {
+            let Some(target) = self.get_mut(key) else {
                 continue;
             };
-            let part = |share: f64| (seat.capacity.cpu as f64 * share) as i64;
-            let most = if free < part(LARGE_SHARE) {
+            let part = |share: f64| (target.capacity.cpu as f64 * share) as i64;
+            let max = if free < part(LARGE_TASK_SHARE) {
                 free
             } else {
-                part(URGENT_SHARE_MAX)
+                part(URGENT_RESERVE_SHARE_MAX)
             };
-            let kept = left.min(most);
-            seat.free_later.cpu -= kept;
-            left -= kept;
+            let reserved = remaining.min(max);
+            target.free_non_urgent.cpu -= reserved;
+            remaining -= reserved;
         }
     }
 
     /// Returns the total processor capacity of the workers, in thousandths of a core.
     pub fn total_cpu(&self) -> i64 {
-        self.iter().map(|(_, seat)| seat.capacity.cpu).sum()
+        self.iter().map(|(_, target)| target.capacity.cpu).sum()
     }
 
     /// Reserves capacity for `count` tasks that do not fit yet on the workers closest to
     /// fitting them, so that later work that is not urgent cannot use it.
-    pub fn keep(&mut self, what: &Candidate, count: usize, allowed: &[WorkerKey]) {
+    pub fn reserve(&mut self, required: &Candidate, count: usize, allowed: &[WorkerKey]) {
         let mut closest: Vec<(i64, WorkerKey)> = allowed
             .iter()
             .filter_map(|&key| {
-                let seat = self.get(key)?;
-                what.room
-                    .fits(&seat.capacity)
-                    .then_some((seat.free.cpu, key))
+                let target = self.get(key)?;
+                required
+                    .resources
+                    .fits(&target.capacity)
+                    .then_some((target.free.cpu, key))
             })
             .collect();
         closest.sort_unstable_by(|a, b| b.cmp(a));
-        let mut left = count;
+        let mut remaining = count;
         for (_, key) in closest {
-            if left == 0 {
+            if remaining == 0 {
                 return;
             }
-            let seat = self.get_mut(key).expect("listed above");
-            let here = places(&seat.capacity, what).clamp(1, left);
+            let target = self.get_mut(key).expect("listed above");
+            let reserved = fit_count_in(&target.capacity, required).clamp(1, remaining);
             // Urgent work may still use the reserved capacity.
-            seat.free_later -= what.room.times(here as i64);
-            left -= here;
+            target.free_non_urgent -= required.resources.times(reserved as i64);
+            remaining -= reserved;
         }
     }
 }
 
 // Returns how many tasks fit in `room` if all of it is free.
-fn places(room: &Amount, what: &Candidate) -> usize {
-    let part = |have: i64, need: i64| if need > 0 { have / need } else { i64::MAX };
-    let most = part(room.cpu, what.room.cpu)
-        .min(part(room.memory, what.room.memory))
-        .min(part(room.accelerators, what.room.accelerators));
-    let limit = i64::from(what.most.unwrap_or(COUNTED_MAX));
-    usize::try_from(most.min(limit)).unwrap_or(0)
+fn fit_count_in(capacity: &Amount, required: &Candidate) -> usize {
+    let part = |total: i64, each: i64| if each > 0 { total / each } else { i64::MAX };
+    let max = part(capacity.cpu, required.resources.cpu)
+        .min(part(capacity.memory, required.resources.memory))
+        .min(part(capacity.accelerators, required.resources.accelerators));
+    let limit = i64::from(required.max_per_worker.unwrap_or(COUNTED_TASKS_MAX));
+    usize::try_from(max.min(limit)).unwrap_or(0)
 }
 
 // Returns the placement cost of a worker, in thousandths of a core; lower is better. It is
 // the processors left free (best fit) plus penalties for remote data, slowness and failures.
-fn cost(seat: &Seat, what: &Candidate) -> f64 {
-    let left = (seat.free.cpu - what.room.cpu) as f64;
-    let far = match what.data_rack {
-        Some(rack) if rack != seat.rack => (what.far - 1.0).max(0.0) * FAR_COST,
+fn cost(target: &Seat, required: &Candidate) -> f64 {
+    let remaining = (target.free.cpu - required.resources.cpu) as f64;
+    let remote = match required.data_rack {
+        Some(r) if r != target.rack => (required.slowdown - 1.0).max(0.0) * REMOTE_COST_MILLICORES,
         _ => 0.0,
     };
-    let slow = (seat.slowness - 1.0).max(0.0) * SLOW_COST;
-    left + far + slow + seat.failures * FAILURE_COST
+    let slowness = (target.slowness - 1.0).max(0.0) * SLOWNESS_COST_MILLICORES;
+    remaining + remote + slowness + target.failure_score * FAILURE_COST_MILLICORES
 }
--- a/src/core/plane/lead/plan.rs
+++ b/src/core/plane/lead/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use super::order::{Age, Rank, rank};
+use super::order::{Rank, Timing, rank};
 use super::place::{Candidate, Seat, Seats};
 use super::{Lead, Now};
 use crate::core::plane::job::{Job, Phase, StepSpec};
@@ -14,26 +14,26 @@
 
 /// Maximum share of all processors reserved for waiting gangs. A larger reserve would leave
 /// the fleet idle. The first gang gets its reserve whatever its size.
-const KEEP_SHARE: f64 = 0.3;
+const GANG_RESERVE_SHARE: f64 = 0.3;
 /// Capacity provided for urgent work as a multiple of its recent peak.
 const URGENT_MARGIN: f64 = 1.2;
 /// Share by which the recent peak of urgent work decays in each round: by half in about 10 s
 /// at 50 rounds per second.
-const URGENT_DECAY: f64 = 0.0014;
+const URGENT_DECAY_PER_ROUND: f64 = 0.0014;
 
 /// Number of workers and steps examined after which a round ends and leaves the other steps
 /// to the next.
-const WORK_MAX: u32 = 60_000;
+const EXAMINED_MAX: u32 = 60_000;
 
 /// State of one planning round.
 struct Round {
-    seats: Seats,
+    targets: Seats,
     /// Gangs to reserve capacity for: what each task takes, the number of tasks, and the
     /// workers they may run on.
-    kept: Vec<(Candidate, usize, Vec<WorkerKey>)>,
+    reserves: Vec<(Candidate, usize, Vec<WorkerKey>)>,
     /// Processors reserved so far and their maximum, in thousandths of a core.
-    kept_cpu: i64,
-    kept_max: i64,
+    reserved_cpu: i64,
+    reserved_cpu_max: i64,
     starts: Vec<Start>,
     /// Eligible workers by service and label.
     eligible: HashMap<(String, Option<String>), Rc<Vec<WorkerKey>>>,
@@ -42,15 +42,15 @@
 impl Round {
     // Applies the reserves of the group of steps just planned to the groups after it. Within
     // a group they do not apply: gangs of one queue would wait for each other's permits.
-    fn apply_kept(&mut self) {
-        for (what, count, allowed) in self.kept.drain(..) {
-            self.seats.keep(&what, count, &allowed);
+    fn apply_reserves(&mut self) {
+        for (required, count, allowed) in self.reserves.drain(..) {
+            self.targets.reserve(&required, count, &allowed);
         }
     }
 }
 
 /// A step with tasks waiting for placement.
-pub(super) struct Waiting {
+pub(super) struct PendingStep {
     pub(super) rank: Rank,
     pub(super) step: StepName,
     pub(super) count: usize,
@@ -64,14 +64,14 @@
             return (Vec::new(), 0);
         }
         waiting.sort_unstable_by_key(|w| (w.rank, w.step));
-        let seats = self.seats(now, state);
-        seats.count(waiting.len() + self.channels.len());
-        let kept_max = (seats.total_cpu() as f64 * KEEP_SHARE) as i64;
+        let targets = self.targets(now, state);
+        targets.add_examined(waiting.len() + self.channels.len());
+        let reserved_cpu_max = (targets.total_cpu() as f64 * GANG_RESERVE_SHARE) as i64;
         let mut round = Round {
-            seats,
-            kept: Vec::new(),
-            kept_cpu: 0,
-            kept_max,
+            targets,
+            reserves: Vec::new(),
+            reserved_cpu: 0,
+            reserved_cpu_max,
             starts: Vec::new(),
             eligible: HashMap::new(),
         };
@@ -79,18 +79,18 @@
         for step in &waiting {
             let next = (step.rank.lateness, step.rank.priority);
             if group.is_some_and(|group| group != next) {
-                round.apply_kept();
+                round.apply_reserves();
             }
             group = Some(next);
             self.plan_step(now, state, step, &mut round);
-            if round.seats.work() > WORK_MAX {
+            if round.targets.examined() > EXAMINED_MAX {
                 break;
             }
         }
-        (round.starts, round.seats.work())
+        (round.starts, round.targets.examined())
     }
 
-    fn waiting_steps(&self, now: Now, state: &State) -> Vec<Waiting> {
+    fn waiting_steps(&self, now: Now, state: &State) -> Vec<PendingStep> {
         let over = over_share(state);
         let mut waiting = Vec::new();
         for id in &state.open {
@@ -114,11 +114,11 @@
                         continue;
                     }
                     let rank = if job.submission.steps[at].lasting {
-                        Rank::lasting(due_ms.unwrap_or(job.accepted_ms))
+                        Rank::long_running(due_ms.unwrap_or(job.accepted_ms))
                     } else {
                         self.rank(now, job, queue, k, due_ms, over_share)
                     };
-                    waiting.push(Waiting {
+                    waiting.push(PendingStep {
                         rank,
                         step: name,
                         count,
@@ -139,20 +139,20 @@
         over_share: bool,
     ) -> Rank {
         let ratio = self.ratio(&queue.name);
-        let age = Age {
+        let timing = Timing {
             since_ms: due_ms.unwrap_or(job.accepted_ms),
-            chain_ms: job.chain_ms(occurrence, true) as f64 * ratio,
-            left_ms: job.chain_ms(occurrence, false) as f64 * ratio,
+            critical_path_ms: job.chain_ms(occurrence, true) as f64 * ratio,
+            remaining_ms: job.chain_ms(occurrence, false) as f64 * ratio,
             stretch: queue.stretch,
             goal_ms: queue.goal_ms,
         };
-        rank(now.wall_ms, age, queue.priority, over_share)
+        rank(now.wall_ms, timing, queue.priority, over_share)
     }
 
-    fn seats(&mut self, now: Now, state: &State) -> Seats {
+    fn targets(&mut self, now: Now, state: &State) -> Seats {
         let urgent: i64 = self.channels.values().map(|c| c.urgent_cpu).sum();
-        self.urgent_use = (self.urgent_use * (1.0 - URGENT_DECAY)).max(urgent as f64);
-        let mut seats = Seats::default();
+        self.urgent_use = (self.urgent_use * (1.0 - URGENT_DECAY_PER_ROUND)).max(urgent as f64);
+        let mut targets = Seats::default();
         for (&key, channel) in &self.channels {
             let worker = state.worker(key);
             if worker.gone || worker.report.draining || !channel.is_usable(now.at) {
@@ -160,24 +160,24 @@
             }
             let capacity = worker.report.capacity;
             let free = capacity - worker.used - channel.reserved;
-            let seat = Seat {
+            let target = Seat {
                 capacity,
                 free,
-                free_later: free,
+                free_non_urgent: free,
                 rack: channel.rack,
                 slowness: channel.slowness,
-                failures: channel.failures(now.at),
+                failure_score: channel.failures(now.at),
                 serving: channel.serving > 0,
-                filling: channel.filling > 0,
+                best_effort: channel.filling > 0,
             };
-            seats.add(key, seat);
+            targets.insert(key, target);
         }
         let headroom = self.urgent_use * URGENT_MARGIN - urgent as f64;
-        seats.keep_for_urgent(headroom as i64);
-        seats
+        targets.reserve_for_urgent(headroom as i64);
+        targets
     }
 
-    fn plan_step(&mut self, now: Now, state: &State, waiting: &Waiting, round: &mut Round) {
+    fn plan_step(&mut self, now: Now, state: &State, waiting: &PendingStep, round: &mut Round) {
         let name = waiting.step;
         let job = &state.jobs[&name.job];
         let Some((spec, _)) = job.step(name) else {
@@ -187,56 +187,58 @@
         let permitted = queue
             .permission
             .map(|_| self.permits.valid_workers(now.at, name));
-        let what = candidate(spec, queue, &self.racks, self.bounds.far);
+        let required = requirement(spec, queue, &self.racks, self.bounds.far);
         if permitted.as_ref().is_some_and(Vec::is_empty) && self.permits.is_waiting(now.at, name) {
-            self.keep_room(waiting, spec, &what, &[], round);
+            self.reserve_room(waiting, spec, &required, &[], round);
             return;
         }
-        let count = self.within_cap(state, job, spec, waiting.count);
+        let count = self.count_within_cap(state, job, spec, waiting.count);
         let eligible = eligible(state, round, job, spec);
         let allowed = permitted.as_ref().unwrap_or(&eligible);
-        let present = self.present(state, name, spec);
-        let found = round.seats.find(&what, count, allowed, &present);
-        let whole = found.len() == waiting.count;
-        if !spec.gang || whole {
-            self.start_tasks(state, name, &found, &what, round);
+        let existing = self.tasks_by_worker(state, name, spec);
+        let found = round.targets.find(&required, count, allowed, &existing);
+        let is_complete = found.len() == waiting.count;
+        if !spec.gang || is_complete {
+            self.start_tasks(state, name, &found, &required, round);
         }
-        if whole || count == 0 {
+        if is_complete || count == 0 {
             return;
         }
         let placed = if spec.gang { 0 } else { found.len() };
         if let Some(terms) = queue.permission {
-            let seats = &round.seats;
+            let targets = &round.targets;
             let wanted = waiting.count - placed;
-            self.ask_more(
-                now, state, name, &what, terms, &eligible, seats, &present, wanted,
+            self.request_permits(
+                now, state, name, &required, terms, &eligible, targets, &existing, wanted,
             );
         }
-        self.keep_room(waiting, spec, &what, &eligible, round);
+        self.reserve_room(waiting, spec, &required, &eligible, round);
     }
 
     // Reserves capacity for a gang that does not fit yet or waits for permits, so that later
     // work does not take it in the meantime.
-    fn keep_room(
+    fn reserve_room(
         &self,
-        waiting: &Waiting,
+        waiting: &PendingStep,
         spec: &StepSpec,
-        what: &Candidate,
+        required: &Candidate,
         eligible: &[WorkerKey],
         round: &mut Round,
     ) {
-        if !spec.gang || round.kept_cpu >= round.kept_max {
+        if !spec.gang || round.reserved_cpu >= round.reserved_cpu_max {
             return;
         }
-        round.kept_cpu += what.room.cpu * waiting.count as i64;
-        let allowed = self.known_good(waiting.step, &round.seats);
+        round.reserved_cpu += required.resources.cpu * waiting.count as i64;
+        let allowed = self.permitted_workers(waiting.step, &round.targets);
         let allowed = allowed.unwrap_or_else(|| eligible.to_vec());
-        round.kept.push((what.clone(), waiting.count, allowed));
+        round
+            .reserves
+            .push((required.clone(), waiting.count, allowed));
     }
 
     // Returns how many of `count` tasks can start within the account's cap. A gang starts
     // whole or not at all.
-    fn within_cap(&self, state: &State, job: &Job, spec: &StepSpec, count: usize) -> usize {
+    fn count_within_cap(&self, state: &State, job: &Job, spec: &StepSpec, count: usize) -> usize {
         let Some(key) = job.account else {
             return count;
         };
@@ -252,25 +254,30 @@
 
     // Returns the number of the step's tasks on each worker, or nothing if the step has no
     // limit for each worker.
-    fn present(&self, state: &State, name: StepName, spec: &StepSpec) -> HashMap<WorkerKey, u16> {
-        let mut present = HashMap::new();
+    fn tasks_by_worker(
+        &self,
+        state: &State,
+        name: StepName,
+        spec: &StepSpec,
+    ) -> HashMap<WorkerKey, u16> {
+        let mut existing = HashMap::new();
         if spec.most_per_worker == 0 {
-            return present;
+            return existing;
         }
         let Some((_, step)) = state.jobs[&name.job].step(name) else {
-            return present;
+            return existing;
         };
         for task in &step.tasks {
             if let Phase::Placed(worker) = task.phase {
-                *present.entry(worker).or_insert(0) += 1;
+                *existing.entry(worker).or_insert(0) += 1;
             }
         }
         for (task, worker) in &self.placing {
             if task.step == name {
-                *present.entry(*worker).or_insert(0) += 1;
+                *existing.entry(*worker).or_insert(0) += 1;
             }
         }
-        present
+        existing
     }
 
     fn start_tasks(
@@ -278,14 +285,14 @@
         state: &State,
         name: StepName,
         found: &[WorkerKey],
-        what: &Candidate,
+        required: &Candidate,
         round: &mut Round,
     ) {
         let job = &state.jobs[&name.job];
         let Some((spec, step)) = job.step(name) else {
             return;
         };
-        let common = step.tasks.iter().map(|t| t.run).max().unwrap_or(0) + 1;
+        let gang_run = step.tasks.iter().map(|t| t.run).max().unwrap_or(0) + 1;
         let indexes = (0_u16..).zip(&step.tasks).filter(|(index, task)| {
             let task_name = TaskName {
                 step: name,
@@ -296,12 +303,12 @@
         let pairs: Vec<(u16, u32, WorkerKey)> = indexes
             .zip(found)
             .map(|((index, task), &worker)| {
-                let run = if spec.gang { common } else { task.run + 1 };
+                let run = if spec.gang { gang_run } else { task.run + 1 };
                 (index, run, worker)
             })
             .collect();
         for (index, run, worker) in pairs {
-            round.seats.take(worker, what);
+            round.targets.allocate(worker, required);
             let task = TaskName { step: name, index };
             self.reserve(
                 task,
@@ -359,16 +366,21 @@
     }
 }
 
-fn candidate(spec: &StepSpec, queue: &Queue, racks: &HashMap<String, u32>, far: f64) -> Candidate {
+fn requirement(
+    spec: &StepSpec,
+    queue: &Queue,
+    racks: &HashMap<String, u32>,
+    slowdown: f64,
+) -> Candidate {
     Candidate {
-        room: spec.room(),
+        resources: spec.room(),
         urgent: queue.priority == 0 || spec.lasting,
         data_rack: spec.data_rack.as_ref().and_then(|r| racks.get(r).copied()),
-        far,
-        most: (spec.most_per_worker > 0).then_some(spec.most_per_worker),
-        one_rack: spec.gang && spec.rack_sensitive,
+        slowdown,
+        max_per_worker: (spec.most_per_worker > 0).then_some(spec.most_per_worker),
+        single_rack: spec.gang && spec.rack_sensitive,
         serving: spec.target_ms > 0,
-        filling: spec.filling,
+        best_effort: spec.filling,
     }
 }
 
@@ -386,7 +398,7 @@
     };
     let found: Rc<Vec<WorkerKey>> = Rc::new(
         round
-            .seats
+            .targets
             .iter()
             .map(|(key, _)| (key, &state.worker(key).report))
             .filter(|(_, report)| report.service == service && has_label(&report.labels))
