--- a/tests/lasting.rs
+++ b/tests/lasting.rs
@@ -8,12 +8,12 @@
 use plantaincross::core::plane::types::Amount;
 use support::{Cell, queue, tasks};
 
-const SLOW: Permission = Permission {
+const SLOW_PERMISSION: Permission = Permission {
     decide_ms: 410.0,
     each_ms: 5.9,
     valid_ms: 2_500,
 };
-const QUICK: Permission = Permission {
+const QUICK_PERMISSION: Permission = Permission {
     decide_ms: 9.3,
     each_ms: 0.13,
     valid_ms: 2_500,
@@ -25,9 +25,9 @@
 // Returns a fleet with permits on one worker of three.
 fn cell(seed: u64, workers: usize, askers: u64) -> Cell {
     let queues = vec![
-        queue("urgent", 0, Some(QUICK)),
-        queue("gang", 1, Some(SLOW)),
-        queue("live", 2, Some(SLOW)),
+        queue("urgent", 0, Some(QUICK_PERMISSION)),
+        queue("gang", 1, Some(SLOW_PERMISSION)),
+        queue("live", 2, Some(SLOW_PERMISSION)),
         queue("batch", 3, None),
     ];
     let mut cell = Cell::new(seed, workers, queues, Amount::default());
@@ -38,7 +38,7 @@
     cell
 }
 
-fn lasting(count: u16, cores: i64) -> StepSpec {
+fn long_running(count: u16, cores: i64) -> StepSpec {
     StepSpec {
         lasting: true,
         may_miss: 1,
@@ -50,18 +50,23 @@
 // Returns the sorted times in milliseconds that tasks waited for each of their starts,
 // including those of tasks that still wait.
 fn gaps(cell: &Cell) -> Vec<u64> {
-    let away = cell.away.values().map(|since| cell.now - since);
-    let mut gaps: Vec<u64> = cell.gaps.iter().map(|(_, gap)| *gap).chain(away).collect();
+    let open_gaps = cell.away.values().map(|since| cell.now - since);
+    let mut gaps: Vec<u64> = cell
+        .gaps
+        .iter()
+        .map(|(_, gap)| *gap)
+        .chain(open_gaps)
+        .collect();
     gaps.sort_unstable();
     gaps
 }
 
-fn assert_short(cell: &Cell) {
+fn assert_short_gaps(cell: &Cell) {
     let gaps = gaps(cell);
     let longest = &gaps[gaps.len().saturating_sub(10)..];
     assert!(
         gaps.last().is_none_or(|gap| *gap <= GAP_MAX_MS),
-        "the longest of {} gaps: {longest:?} ms; {} tasks are away",
+        "the longest of {} gaps: {longest:?} ms; {} tasks still wait to start",
         gaps.len(),
         cell.away.len()
     );
@@ -77,10 +82,10 @@
         most_per_worker: 1,
         ..tasks(15, 2, 10_000)
     };
-    cell.submit("live", 1, vec![lasting(15, 2)], 2_000);
+    cell.submit("live", 1, vec![long_running(15, 2)], 2_000);
     cell.submit("gang", 2, vec![limited], 10_000);
     cell.run_for(12_000);
-    assert_short(&cell);
+    assert_short_gaps(&cell);
     assert_eq!(cell.starts_of(2), 15);
 }
 
@@ -89,11 +94,16 @@
 #[test]
 fn lasting_tasks_come_back_beside_gangs_and_bursts() {
     let mut cell = cell(2, 350, 33);
-    let mut next = 1_000;
+    let mut next_id = 1_000;
     for second in 0..30 {
         if second < 20 {
             for at in 0..2 {
-                cell.submit("live", second * 2 + at + 1, vec![lasting(20, 1)], 6_000);
+                cell.submit(
+                    "live",
+                    second * 2 + at + 1,
+                    vec![long_running(20, 1)],
+                    6_000,
+                );
             }
         }
         let burst = if second % 10 > 6 { 3 } else { 1 };
@@ -102,16 +112,16 @@
                 gang: true,
                 ..tasks(14, 9, 6_000)
             };
-            cell.submit("gang", next, vec![gang], 6_000);
-            next += 1;
+            cell.submit("gang", next_id, vec![gang], 6_000);
+            next_id += 1;
         }
         for _ in 0..36 * burst {
-            cell.submit("urgent", next, vec![tasks(10, 4, 800)], 800);
-            next += 1;
+            cell.submit("urgent", next_id, vec![tasks(10, 4, 800)], 800);
+            next_id += 1;
             cell.run_for(1_000 / (36 * burst));
         }
     }
-    assert_short(&cell);
+    assert_short_gaps(&cell);
 }
 
 // Guards against long-running tasks that are lost when workers crash and restart under the
@@ -120,7 +130,7 @@
 fn lasting_tasks_come_back_after_a_take_over() {
     let mut cell = cell(3, 60, 13);
     for id in 1..=6 {
-        cell.submit("live", id, vec![lasting(10, 2)], 4_000);
+        cell.submit("live", id, vec![long_running(10, 2)], 4_000);
     }
     cell.run_for(6_000);
     for at in 0..8 {
@@ -131,5 +141,5 @@
         }
         cell.run_for(2_000);
     }
-    assert_short(&cell);
+    assert_short_gaps(&cell);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -10,17 +10,17 @@
 use plantaincross::core::plane::worker::Report;
 use support::{Cell, queue, tasks};
 
-const SECONDS: u64 = 36;
+const LOAD_SECONDS: u64 = 36;
 /// Interval between gang jobs, in steps of 1 ms: 8.3 jobs per second.
-const GANG_EVERY: u64 = 120;
+const GANG_INTERVAL_MS: u64 = 120;
 /// Interval between wide jobs: 11 jobs per second.
-const WIDE_EVERY: u64 = 90;
+const WIDE_INTERVAL_MS: u64 = 90;
 /// Interval between urgent jobs: 166 jobs per second.
-const URGENT_EVERY: u64 = 6;
+const URGENT_INTERVAL_MS: u64 = 6;
 /// Interval between waves of departing workers.
-const LEAVE_EVERY: u64 = 4_000;
+const DEPARTURE_INTERVAL_MS: u64 = 4_000;
 
-fn terms(decide_ms: f64, each_ms: f64) -> Option<Permission> {
+fn permission(decide_ms: f64, each_ms: f64) -> Option<Permission> {
     Some(Permission {
         decide_ms,
         each_ms,
@@ -30,16 +30,16 @@
 
 fn queues() -> Vec<Queue> {
     vec![
-        queue("urgent", 0, terms(7.0, 0.1)),
+        queue("urgent", 0, permission(7.0, 0.1)),
         Queue {
             stretch: 2.2,
             goal_ms: 1_000,
-            ..queue("gang", 1, terms(390.0, 5.6))
+            ..queue("gang", 1, permission(390.0, 5.6))
         },
         Queue {
             stretch: 4.0,
             goal_ms: 3_000,
-            ..queue("wide", 2, terms(80.0, 1.2))
+            ..queue("wide", 2, permission(80.0, 1.2))
         },
     ]
 }
@@ -48,28 +48,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Load {
     /// 80% of the fleet's capacity.
-    Usual,
+    Normal,
     /// Bursts above the fleet's capacity, while a fifth of the workers departs.
-    Over,
+    Overload,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Job {
     id: u64,
-    at: u64,
+    submitted_at: u64,
     goal_ms: u64,
     tasks: u16,
 }
 
-struct Day {
+struct Scenario {
     cell: Cell,
-    next: u64,
-    gangs: Vec<Sent>,
-    wide: Vec<Sent>,
-    urgent: Vec<Sent>,
+    next_id: u64,
+    gangs: Vec<Job>,
+    wide: Vec<Job>,
+    urgent: Vec<Job>,
 }
 
-impl Day {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let mut cell = Cell::new(seed, 1_100, queues(), Amount::default());
         for worker in &mut cell.workers {
@@ -87,7 +87,7 @@
         cell.run_for(1_000);
         Self {
             cell,
-            next: 1,
+            next_id: 1,
             gangs: Vec::new(),
             wide: Vec::new(),
             urgent: Vec::new(),
@@ -96,7 +96,7 @@
 
     // Draws a task count from a distribution with the given mean, mostly small counts and a
     // few of up to five times the mean.
-    fn width(&mut self, mean: u64) -> u16 {
+    fn draw_task_count(&mut self, mean: u64) -> u16 {
         let product = (1 + self.cell.draw(10)) * (1 + self.cell.draw(10)) * (1 + self.cell.draw(5));
         (product * mean / 90).clamp(2, 5 * mean) as u16
     }
@@ -116,79 +116,79 @@
         }
     }
 
-    fn gang(&mut self) {
-        let count = self.width(31);
+    fn submit_gang(&mut self) {
+        let count = self.draw_task_count(31);
         let ms = 3_000 + self.cell.draw(6_400);
         let step = StepSpec {
             gang: true,
             ..self.step(count, 9, 17_000, ms)
         };
-        self.gangs.push(Sent {
-            id: self.next,
-            at: self.cell.now,
+        self.gangs.push(Job {
+            id: self.next_id,
+            submitted_at: self.cell.now,
             goal_ms: ms * 22 / 10 + 1_000,
             tasks: count,
         });
-        self.cell.submit("gang", self.next, vec![step], ms);
-        self.next += 1;
+        self.cell.submit("gang", self.next_id, vec![step], ms);
+        self.next_id += 1;
     }
 
-    fn wide(&mut self) {
-        let count = self.width(60);
+    fn submit_wide(&mut self) {
+        let count = self.draw_task_count(60);
         let ms = 1_500 + self.cell.draw(2_400);
         let step = self.step(count, 5, 10_000, ms);
-        self.wide.push(Sent {
-            id: self.next,
-            at: self.cell.now,
+        self.wide.push(Job {
+            id: self.next_id,
+            submitted_at: self.cell.now,
             goal_ms: ms * 4 + 3_000,
             tasks: count,
         });
-        self.cell.submit("wide", self.next, vec![step], ms);
-        self.next += 1;
+        self.cell.submit("wide", self.next_id, vec![step], ms);
+        self.next_id += 1;
     }
 
-    fn urgent(&mut self) {
+    fn submit_urgent(&mut self) {
         let ms = 400 + self.cell.draw(500);
-        self.urgent.push(Sent {
-            id: self.next,
-            at: self.cell.now,
+        self.urgent.push(Job {
+            id: self.next_id,
+            submitted_at: self.cell.now,
             goal_ms: ms * 15 / 10 + 250,
             tasks: 4,
         });
         let step = StepSpec {
-            gang: self.next.is_multiple_of(3),
+            gang: self.next_id.is_multiple_of(3),
             ..self.step(4, 8, 14_000, ms)
         };
-        self.cell.submit("urgent", self.next, vec![step], ms);
-        self.next += 1;
+        self.cell.submit("urgent", self.next_id, vec![step], ms);
+        self.next_id += 1;
     }
 
-    fn play(&mut self, load: Load) {
-        for ms in 0..SECONDS * 1_000 {
+    fn run(&mut self, load: Load) {
+        for ms in 0..LOAD_SECONDS * 1_000 {
             // Bursts in which gangs arrive at almost twice their usual rate.
-            let in_burst = load == Load::Over
+            let in_burst = load == Load::Overload
                 && ((12_000..16_000).contains(&ms) || (24_000..26_000).contains(&ms));
-            let gang_every = if in_burst {
-                GANG_EVERY * 10 / 18
+            let gang_interval_ms = if in_burst {
+                GANG_INTERVAL_MS * 10 / 18
             } else {
-                GANG_EVERY
+                GANG_INTERVAL_MS
             };
-            if ms.is_multiple_of(gang_every) {
-                self.gang();
+            if ms.is_multiple_of(gang_interval_ms) {
+                self.submit_gang();
             }
-            if ms.is_multiple_of(WIDE_EVERY) {
-                self.wide();
+            if ms.is_multiple_of(WIDE_INTERVAL_MS) {
+                self.submit_wide();
             }
-            if ms.is_multiple_of(URGENT_EVERY) {
-                self.urgent();
+            if ms.is_multiple_of(URGENT_INTERVAL_MS) {
+                self.submit_urgent();
             }
             // One worker in five departs, in three waves.
-            let leaves = load == Load::Over && ms.is_multiple_of(LEAVE_EVERY);
-            if leaves && ms / LEAVE_EVERY < 3 {
-                let first = (ms / LEAVE_EVERY) as usize * 5;
+            let departs = load == Load::Overload && ms.is_multiple_of(DEPARTURE_INTERVAL_MS);
+            if departs && ms / DEPARTURE_INTERVAL_MS < 3 {
+                let first = (ms / DEPARTURE_INTERVAL_MS) as usize * 5;
                 (first..1_100)
                     .step_by(15)
-                    .for_each(|at| self.cell.drain(at));
+                    .for_each(|worker| self.cell.drain(worker));
             }
             self.cell.step();
         }
@@ -196,10 +196,10 @@
     }
 
     // Returns the share of the jobs that completed within their goal.
-    fn in_time(&self, jobs: &[Sent]) -> f64 {
-        let is_in_time = |job: &&Sent| {
+    fn share_in_time(&self, jobs: &[Job]) -> f64 {
+        let is_in_time = |job: &&Job| {
             let end = self.cell.completed.get(&JobId(job.id));
-            end.is_some_and(|end| end - job.at <= job.goal_ms)
+            end.is_some_and(|end| end - job.submitted_at <= job.goal_ms)
         };
         jobs.iter().filter(is_in_time).count() as f64 / jobs.len() as f64
     }
@@ -208,14 +208,20 @@
 // Guards against starvation of large gangs, which happens when smaller work takes each free
 // slot before a large gang fits. The largest tenth of the gangs must meet their goals at
 // least 0.7 times as often as all gangs, and 95% of the urgent jobs must meet theirs.
-fn large_gangs_are_served(seed: u64, load: Load) {
-    let mut day = Day::new(seed);
-    day.play(load);
-    let mut gangs = day.gangs.clone();
+fn assert_large_gangs_are_served(seed: u64, load: Load) {
+    let mut scenario = Scenario::new(seed);
+    scenario.run(load);
+    let mut gangs = scenario.gangs.clone();
     gangs.sort_by_key(|gang| gang.tasks);
     let largest = &gangs[gangs.len() * 9 / 10..];
-    let (all, large) = (day.in_time(&gangs), day.in_time(largest));
-    let (wide, urgent) = (day.in_time(&day.wide), day.in_time(&day.urgent));
+    let (all, large) = (
+        scenario.share_in_time(&gangs),
+        scenario.share_in_time(largest),
+    );
+    let (wide, urgent) = (
+        scenario.share_in_time(&scenario.wide),
+        scenario.share_in_time(&scenario.urgent),
+    );
     println!("in time: gangs {all:.3}, largest {large:.3}, wide {wide:.3}, urgent {urgent:.3}");
     assert!(
         large >= 0.7 * all,
@@ -224,13 +230,13 @@
     assert!(urgent >= 0.95, "{urgent:.3} of the urgent jobs are in time");
 }
 
-macro_rules! days {
+macro_rules! scenarios {
     ($($name:ident: $seed:expr, $load:expr;)*) => {
-        $(#[test] fn $name() { large_gangs_are_served($seed, $load); })*
+        $(#[test] fn $name() { assert_large_gangs_are_served($seed, $load); })*
     };
 }
 
-days! {
-    large_gangs_on_a_fleet_that_is_four_fifths_full: 1, Load::Usual;
-    large_gangs_on_a_fleet_that_is_over_full: 6, Load::Over;
+scenarios! {
+    large_gangs_on_a_fleet_that_is_four_fifths_full: 1, Load::Normal;
+    large_gangs_on_a_fleet_that_is_over_full: 6, Load::Overload;
 }
