--- a/src/core/plane/lead/permits.rs
+++ b/src/core/plane/lead/permits.rs
@@ -1,8 +1,8 @@
-//! Permission to run steps on workers.
+//! Permits to run steps on workers, granted by an external permission service.
 //!
-//! The permission service answers one question at a time for each instance that
-//! asks, and a question takes longer the more workers it names. Questions are
-//! spread over all instances, each to the one that would have its answer first.
+//! The service handles one request at a time for each requesting instance, and a request
+//! takes longer the more workers it names. Requests are spread over all instances: a quick
+//! request goes to the instance that is free first, a slow one to an idle instance.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -13,211 +13,223 @@
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
 
-/// A permit counts as over this long before it is, for the way to the worker.
+/// A permit is treated as expired this long before its expiry, to allow for the delay of a
+/// start on its way to the worker.
 const PERMIT_MARGIN: Duration = Duration::from_millis(150);
-/// Time on top of twice the expected one after which an answer is given up.
-const ANSWER_SLACK: Duration = Duration::from_millis(700);
-/// An instance whose question failed is not asked again for this long.
-const ASKER_PAUSE: Duration = Duration::from_millis(500);
-/// Questions that take longer are slow. It is the fixed part of most goals.
-pub const SLOW_MIN: Duration = Duration::from_millis(200);
-/// Part of the instances that may have slow questions under way, so that the others
-/// are free for quick ones.
-const SLOW_SHARE: f64 = 0.6;
-/// Most slow questions of one step at once. Eight name some 550 workers on the terms of the
-/// first users, of which 190 may run the step: places for a gang of 130.
-const PARTS_MAX: usize = 8;
-/// Idle instances for each of them, so that two other steps find one.
-const IDLE_PER_PART: usize = 3;
-/// Longest time that a quick question may wait for its turn at the instance that
-/// asks it.
-const TURN_MAX: Duration = Duration::from_millis(100);
-/// Workers that one question may name; a limit of the service.
-pub const NAMED_MAX: usize = 100;
-/// Fewest workers that a first question names.
-const NAMED_MIN: usize = 8;
-/// Part of the fixed cost of a question that naming workers may add.
-const NAMING_SHARE: f64 = 0.4;
-/// The same for gangs, which need room for all tasks at once among the workers that are
-/// granted.
-const NAMING_SHARE_GANG: f64 = 1.0;
+/// Time added to the instance's queueing delay and twice the expected duration of a request
+/// for its timeout.
+const TIMEOUT_SLACK: Duration = Duration::from_millis(700);
+/// An instance whose request failed gets no further requests for this long.
+const REQUESTER_PAUSE: Duration = Duration::from_millis(500);
+/// Expected duration from which a request counts as slow: the fixed part of most
+/// response-time goals.
+pub const SLOW_REQUEST_MIN: Duration = Duration::from_millis(200);
+/// Share of the instances that may have slow requests in flight, so that the others are free
+/// for quick ones.
+const SLOW_REQUESTER_SHARE: f64 = 0.6;
+/// Maximum number of slow requests in flight for one step. With the permission costs of the
+/// first users, 8 requests name about 550 workers, of which 190 may run the step: enough for
+/// a gang of 130 tasks.
+const SLOW_REQUESTS_PER_STEP_MAX: usize = 8;
+/// Number of idle instances required for each slow request of a step, so that two other
+/// steps find an idle instance as well.
+const IDLE_REQUESTERS_PER_REQUEST: usize = 3;
+/// Maximum queueing delay of a quick request at the instance that sends it.
+const QUEUEING_DELAY_MAX: Duration = Duration::from_millis(100);
+/// Maximum number of workers in one request; a limit of the permission service.
+pub const WORKERS_PER_REQUEST_MAX: usize = 100;
+/// Minimum number of workers in the first request of a step.
+const WORKERS_PER_REQUEST_MIN: usize = 8;
+/// Maximum cost of the named workers as a share of the fixed cost of a request.
+const WORKER_COST_SHARE: f64 = 0.4;
+/// The same share for gangs, which need more workers because the granted ones must have room
+/// for all tasks at once.
+const GANG_WORKER_COST_SHARE: f64 = 1.0;
 
-/// A permit.
+/// Permit to run a step on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permit {
-    /// Text that a start carries.
+    /// Opaque text of the permit, passed on to the worker with the start.
     pub text: String,
-    /// When it is over.
-    pub until: Moment,
+    /// Time from which the permit must not be used.
+    pub expires_at: Moment,
 }
 
-/// What is known for one step.
+/// Answers and requests of one step.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
-    /// Workers that may run the step, with the latest permit.
+pub struct StepPermits {
+    /// Workers that may run the step, with the latest permit, which may have expired.
     pub good: BTreeMap<WorkerKey, Permit>,
-    /// Workers that may not.
-    pub bad: BTreeSet<WorkerKey>,
-    /// Questions under way.
-    pub asking: u32,
-    /// When to ask again after a failure.
+    /// Workers that may not run the step.
+    pub denied: BTreeSet<WorkerKey>,
+    /// Number of requests in flight.
+    pub in_flight: u32,
+    /// Earliest time of the next request, after a failure or a deferral.
     pub retry_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asker {
+struct Requester {
     busy_until: Moment,
-    /// Slow questions under way.
-    slow: u32,
+    /// Number of slow requests in flight.
+    slow_in_flight: u32,
 }
 
-impl Asker {
+impl Requester {
     fn is_idle(&self, now: Moment) -> bool {
-        self.slow == 0 && self.busy_until <= now
+        self.slow_in_flight == 0 && self.busy_until <= now
     }
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct InFlight {
     step: StepName,
-    asker: InstanceId,
-    named: Vec<WorkerKey>,
+    requester: InstanceId,
+    workers: Vec<WorkerKey>,
     sent_at: Moment,
-    expires: Moment,
-    valid: Duration,
+    times_out_at: Moment,
+    validity: Duration,
     is_slow: bool,
 }
 
-/// A finished question.
+/// A request that was answered, failed or timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finished {
-    /// Step.
+    /// Step that the request was for.
     pub step: StepName,
-    /// Workers named.
+    /// Number of workers named in the request.
     pub named: usize,
-    /// Workers granted.
+    /// Number of workers granted; `None` if the request failed.
     pub granted: Option<usize>,
-    /// Time taken.
+    /// Time from sending the request to its end.
     pub took: Duration,
 }
 
-/// All permits of a leader.
+/// Permits and permission requests of a leader.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
-    steps: HashMap<StepName, Known>,
-    askers: BTreeMap<InstanceId, Asker>,
-    open: HashMap<u64, Open>,
+    steps: HashMap<StepName, StepPermits>,
+    requesters: BTreeMap<InstanceId, Requester>,
+    in_flight: HashMap<u64, InFlight>,
 }
 
-/// Returns how many workers a first question names, so that naming them costs no more
-/// than a part of the question itself.
+/// Returns the number of workers to name in the first request of a step. Their cost is at
+/// most a set share of the fixed cost of the request.
 pub fn named_count(terms: Permission, gang: bool) -> usize {
     if terms.each_ms <= 0.0 {
-        return NAMED_MAX;
+        return WORKERS_PER_REQUEST_MAX;
     }
     let share = if gang {
-        NAMING_SHARE_GANG
+        GANG_WORKER_COST_SHARE
     } else {
-        NAMING_SHARE
+        WORKER_COST_SHARE
     };
     let affordable = terms.decide_ms * share / terms.each_ms;
-    (affordable as usize).clamp(NAMED_MIN, NAMED_MAX)
+    (affordable as usize).clamp(WORKERS_PER_REQUEST_MIN, WORKERS_PER_REQUEST_MAX)
 }
 
-/// Returns the expected time of a question.
+/// Returns the expected duration of a request that names `named` workers.
 pub fn expected(terms: Permission, named: usize) -> Duration {
     let millis = terms.decide_ms + terms.each_ms * named as f64;
     Duration::from_micros((millis * 1_000.0) as u64)
 }
 
 impl Permits {
-    /// Replaces the instances that can ask.
-    pub fn set_askers(&mut self, askers: &[InstanceId]) {
-        self.askers.retain(|id, _| askers.contains(id));
-        for id in askers {
-            self.askers.entry(*id).or_insert(Asker {
+    /// Replaces the set of instances that can send requests.
+    pub fn set_askers(&mut self, instances: &[InstanceId]) {
+        self.requesters.retain(|id, _| instances.contains(id));
+        for id in instances {
+            self.requesters.entry(*id).or_insert(Requester {
                 busy_until: Moment::ZERO,
-                slow: 0,
+                slow_in_flight: 0,
             });
         }
     }
 
-    /// Returns what is known for a step.
-    pub fn known(&self, step: StepName) -> Option<&Known> {
+    /// Returns the answers and requests of a step, if it has any.
+    pub fn known(&self, step: StepName) -> Option<&StepPermits> {
         self.steps.get(&step)
     }
 
-    /// Returns a permit that is valid now.
+    /// Returns the permit of a step for a worker, if it is valid at `now`.
     pub fn valid(&self, now: Moment, step: StepName, worker: WorkerKey) -> Option<&Permit> {
         let permit = self.steps.get(&step)?.good.get(&worker)?;
-        (now < permit.until).then_some(permit)
+        (now < permit.expires_at).then_some(permit)
     }
 
-    /// Leaves a step alone for a while.
+    /// Defers the next request of a step until at least `until`.
     pub fn defer(&mut self, step: StepName, until: Moment) {
-        let known = self.steps.entry(step).or_default();
-        known.retry_at = known.retry_at.max(until);
+        let step_permits = self.steps.entry(step).or_default();
+        step_permits.retry_at = step_permits.retry_at.max(until);
     }
 
-    /// Returns whether a question for the step is under way or is not to be asked yet.
+    /// Returns whether a request of the step is in flight or its next request is deferred.
     pub fn is_waiting(&self, now: Moment, step: StepName) -> bool {
-        let known = self.steps.get(&step);
-        known.is_some_and(|known| known.asking > 0 || now < known.retry_at)
+        let step_permits = self.steps.get(&step);
+        step_permits
+            .is_some_and(|step_permits| step_permits.in_flight > 0 || now < step_permits.retry_at)
     }
 
-    /// Returns the workers with a permit that is valid now.
+    /// Returns the workers for which the step has a permit that is valid at `now`.
     pub fn valid_workers(&self, now: Moment, step: StepName) -> Vec<WorkerKey> {
-        let Some(known) = self.steps.get(&step) else {
+        let Some(step_permits) = self.steps.get(&step) else {
             return Vec::new();
         };
-        known
+        step_permits
             .good
             .iter()
-            .filter(|(_, permit)| now < permit.until)
+            .filter(|(_, permit)| now < permit.expires_at)
             .map(|(&key, _)| key)
             .collect()
     }
 
-    /// Drops a permit that a worker refused.
+    /// Expires a permit that a worker refused. The worker still counts as permitted, so that
+    /// the permit is requested again.
     pub fn revoke(&mut self, step: StepName, worker: WorkerKey) {
-        if let Some(known) = self.steps.get_mut(&step)
-            && let Some(permit) = known.good.get_mut(&worker)
+        if let Some(step_permits) = self.steps.get_mut(&step)
+            && let Some(permit) = step_permits.good.get_mut(&worker)
         {
-            permit.until = Moment::ZERO;
+            permit.expires_at = Moment::ZERO;
         }
     }
 
-    /// Forgets steps that `keep` does not want.
+    /// Drops the steps for which `keep` returns false, except those with requests in flight.
     pub fn retain(&mut self, keep: impl Fn(StepName) -> bool) {
         self.steps
-            .retain(|step, known| known.asking > 0 || keep(*step));
+            .retain(|step, step_permits| step_permits.in_flight > 0 || keep(*step));
     }
 
-    /// Returns whether an instance could ask now.
-    pub fn can_ask(&self, now: Moment, is_slow: bool) -> bool {
-        self.choose(now, is_slow).is_some()
+    /// Returns whether an instance can send a request at `now`.
+    pub fn has_requester(&self, now: Moment, is_slow: bool) -> bool {
+        self.choose_requester(now, is_slow).is_some()
     }
 
-    /// Returns how many instances could ask a slow question now.
-    pub fn idle(&self, now: Moment) -> usize {
-        self.slow_askers().filter(|(_, a)| a.is_idle(now)).count()
+    /// Returns how many instances can send a slow request at `now`.
+    pub fn idle_requesters(&self, now: Moment) -> usize {
+        self.slow_requesters()
+            .filter(|(_, r)| r.is_idle(now))
+            .count()
     }
 
-    /// Returns how many slow questions of one step may be under way at once: a part of
-    /// what the idle instances could ask, so that other steps find one too.
-    pub fn parts(&self, now: Moment) -> usize {
-        (self.idle(now) / IDLE_PER_PART).clamp(1, PARTS_MAX)
+    /// Returns how many slow requests one step may have in flight: a fraction of the idle
+    /// instances, so that other steps find an idle instance as well.
+    pub fn parallel_requests(&self, now: Moment) -> usize {
+        (self.idle_requesters(now) / IDLE_REQUESTERS_PER_REQUEST)
+            .clamp(1, SLOW_REQUESTS_PER_STEP_MAX)
     }
 
-    /// Returns the share of the workers named for a step that may run it.
-    pub fn granted_share(&self, step: StepName) -> f64 {
-        let known = self.steps.get(&step);
-        let (good, bad) = known.map_or((0, 0), |k| (k.good.len(), k.bad.len()));
-        (good + 1) as f64 / (good + bad + 2) as f64
+    /// Estimates the share of workers that may run a step from the answers so far, starting
+    /// at one half.
+    pub fn grant_share(&self, step: StepName) -> f64 {
+        let step_permits = self.steps.get(&step);
+        let (permitted, denied) = step_permits.map_or((0, 0), |p| (p.good.len(), p.denied.len()));
+        (permitted + 1) as f64 / (permitted + denied + 2) as f64
     }
 
-    /// Asks for workers, if an instance can ask. Yields who asks what.
-    pub fn ask(
+    /// Creates a request for permits on the named workers and returns it with the instance
+    /// that sends it. Returns `None` if no instance can send one. Workers beyond the limit of
+    /// one request are left out.
+    pub fn request(
         &mut self,
         now: Moment,
         number: u64,
@@ -228,25 +240,25 @@
         if named.is_empty() {
             return None;
         }
-        let cost = expected(terms, named.len().min(NAMED_MAX));
-        let is_slow = cost >= SLOW_MIN;
-        let asker = self.choose(now, is_slow)?;
-        let at = self.askers.get_mut(&asker)?;
-        at.busy_until = at.busy_until.max(now) + cost;
-        at.slow += u32::from(is_slow);
-        self.steps.entry(step).or_default().asking += 1;
-        let timeout = at.busy_until.since(now) + cost + ANSWER_SLACK;
+        let cost = expected(terms, named.len().min(WORKERS_PER_REQUEST_MAX));
+        let is_slow = cost >= SLOW_REQUEST_MIN;
+        let requester = self.choose_requester(now, is_slow)?;
+        let entry = self.requesters.get_mut(&requester)?;
+        entry.busy_until = entry.busy_until.max(now) + cost;
+        entry.slow_in_flight += u32::from(is_slow);
+        self.steps.entry(step).or_default().in_flight += 1;
+        let timeout = entry.busy_until.since(now) + cost + TIMEOUT_SLACK;
         let (keys, workers): (Vec<WorkerKey>, Vec<String>) =
-            named.into_iter().take(NAMED_MAX).unzip();
-        self.open.insert(
+            named.into_iter().take(WORKERS_PER_REQUEST_MAX).unzip();
+        self.in_flight.insert(
             number,
-            Open {
+            InFlight {
                 step,
-                asker,
-                named: keys,
+                requester,
+                workers: keys,
                 sent_at: now,
-                expires: now + timeout,
-                valid: Duration::from_millis(terms.valid_ms),
+                times_out_at: now + timeout,
+                validity: Duration::from_millis(terms.valid_ms),
                 is_slow,
             },
         );
@@ -256,81 +268,86 @@
             workers,
             timeout_ms: timeout.as_millis() as u64,
         };
-        Some((asker, question))
+        Some((requester, question))
     }
 
-    // The instance that would ask first. Slow questions do not queue, and go to the
-    // same part of the instances, so that quick ones seldom wait behind them.
-    fn choose(&self, now: Moment, is_slow: bool) -> Option<InstanceId> {
+    // Chooses the instance that can send a request first. Slow requests are not queued, and
+    // only a fixed share of the instances sends them, so that quick requests rarely wait
+    // behind slow ones.
+    fn choose_requester(&self, now: Moment, is_slow: bool) -> Option<InstanceId> {
         if is_slow {
-            let idle = self.slow_askers().find(|(_, a)| a.is_idle(now));
+            let idle = self.slow_requesters().find(|(_, r)| r.is_idle(now));
             return idle.map(|(&id, _)| id);
         }
-        let (&id, asker) = self
-            .askers
+        let (&id, requester) = self
+            .requesters
             .iter()
-            .min_by_key(|(_, a)| (a.busy_until.max(now), a.slow))?;
-        (asker.busy_until <= now + TURN_MAX).then_some(id)
+            .min_by_key(|(_, r)| (r.busy_until.max(now), r.slow_in_flight))?;
+        (requester.busy_until <= now + QUEUEING_DELAY_MAX).then_some(id)
     }
 
-    fn slow_askers(&self) -> impl Iterator<Item = (&InstanceId, &Asker)> {
-        let most = (self.askers.len() as f64 * SLOW_SHARE).ceil() as usize;
-        self.askers.iter().take(most)
+    fn slow_requesters(&self) -> impl Iterator<Item = (&InstanceId, &Requester)> {
+        let count = (self.requesters.len() as f64 * SLOW_REQUESTER_SHARE).ceil() as usize;
+        self.requesters.iter().take(count)
     }
 
-    /// Takes an answer. Without `granted` the question failed.
+    /// Records the answer to a request; `None` for `granted` means that the request failed.
+    /// Returns `None` if the request is unknown, for example after its timeout.
     pub fn take(
         &mut self,
         now: Moment,
         number: u64,
         granted: Option<Vec<(WorkerKey, String)>>,
     ) -> Option<Finished> {
-        let open = self.open.remove(&number)?;
-        let took = now.since(open.sent_at);
-        if let Some(asker) = self.askers.get_mut(&open.asker)
-            && open.is_slow
+        let request = self.in_flight.remove(&number)?;
+        let took = now.since(request.sent_at);
+        if let Some(requester) = self.requesters.get_mut(&request.requester)
+            && request.is_slow
         {
-            asker.slow = asker.slow.saturating_sub(1);
-            asker.busy_until = asker.busy_until.min(now);
+            requester.slow_in_flight = requester.slow_in_flight.saturating_sub(1);
+            requester.busy_until = requester.busy_until.min(now);
         }
-        let known = self.steps.entry(open.step).or_default();
-        known.asking = known.asking.saturating_sub(1);
+        let step_permits = self.steps.entry(request.step).or_default();
+        step_permits.in_flight = step_permits.in_flight.saturating_sub(1);
         let finished = Finished {
-            step: open.step,
-            named: open.named.len(),
+            step: request.step,
+            named: request.workers.len(),
             granted: granted.as_ref().map(Vec::len),
             took,
         };
         let Some(granted) = granted else {
-            known.retry_at = now + ASKER_PAUSE / 5;
-            if let Some(asker) = self.askers.get_mut(&open.asker) {
-                asker.busy_until = asker.busy_until.max(now + ASKER_PAUSE);
+            step_permits.retry_at = now + REQUESTER_PAUSE / 5;
+            if let Some(requester) = self.requesters.get_mut(&request.requester) {
+                requester.busy_until = requester.busy_until.max(now + REQUESTER_PAUSE);
             }
             return Some(finished);
         };
-        let life = open.valid.saturating_sub(PERMIT_MARGIN);
-        for worker in &open.named {
-            if !granted.iter().any(|(good, _)| good == worker) {
-                known.bad.insert(*worker);
-                known.good.remove(worker);
+        let lifetime = request.validity.saturating_sub(PERMIT_MARGIN);
+        for worker in &request.workers {
+            if !granted.iter().any(|(permitted, _)| permitted == worker) {
+                step_permits.denied.insert(*worker);
+                step_permits.good.remove(worker);
             }
         }
         for (worker, text) in granted {
-            let until = now + life;
-            known.good.insert(worker, Permit { text, until });
+            let expires_at = now + lifetime;
+            step_permits
+                .good
+                .insert(worker, Permit { text, expires_at });
         }
         Some(finished)
     }
 
-    /// Gives up questions that had no answer in time.
+    /// Fails the requests that have reached their timeout.
     pub fn expire(&mut self, now: Moment) -> Vec<Finished> {
-        let late: Vec<u64> = self
-            .open
+        let timed_out: Vec<u64> = self
+            .in_flight
             .iter()
-            .filter(|(_, open)| now >= open.expires)
+            .filter(|(_, request)| now >= request.times_out_at)
             .map(|(&number, _)| number)
             .collect();
-        late.into_iter()
+        timed_out
+            .into_iter()
             .filter_map(|number| self.take(now, number, None))
             .collect()
     }
