--- a/src/core/plane/codec.rs
+++ b/src/core/plane/codec.rs
@@ -1,21 +1,21 @@
-//! Encoding of commands and snapshots.
+//! Binary encoding of commands, snapshots and messages.
 
 use bytes::Bytes;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Encodes a value for the log, a snapshot or a link.
+/// Encodes a value for the log, a snapshot or a message to another instance.
 pub fn encode<T: Serialize>(value: &T) -> Bytes {
     postcard::to_allocvec(value)
         .expect("plain data always encodes")
         .into()
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes a value that was encoded by [`encode`].
 ///
 /// # Errors
 ///
-/// Fails if the bytes are not such a value.
+/// Fails if the bytes do not encode a value of this type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     postcard::from_bytes(bytes)
 }
--- a/src/core/plane/job.rs
+++ b/src/core/plane/job.rs
@@ -1,46 +1,48 @@
-//! Jobs, their steps and tasks.
+//! Jobs, steps and tasks.
 
 use serde::{Deserialize, Serialize};
 
 use super::types::{AccountKey, Amount, JobId, QueueKey, StepName, TaskName, WorkerKey};
 
-/// What a caller says of one step.
+/// Step of a job as submitted by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u16,
-    /// Need of each task.
+    /// Resources that each task needs.
     pub need: Amount,
-    /// Rough run time of a task, in milliseconds.
+    /// Caller's estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps whose tasks must all be done first.
+    /// Indexes of earlier steps whose tasks must all be done first.
     pub after: Vec<u16>,
-    /// Whether tasks save their progress.
+    /// Whether tasks save checkpoints that a later run can resume from.
     pub checkpointing: bool,
-    /// Whether tasks run all at once or not at all.
+    /// Whether the tasks are gang-scheduled: all of them start together or none does.
     pub gang: bool,
-    /// Whether tasks are slower when spread over several racks.
+    /// Whether tasks run slower when spread over several racks.
     pub rack_sensitive: bool,
     /// Label that a worker must have.
     pub label: Option<String>,
-    /// Rack where the data is.
+    /// Rack that holds the step's data.
     pub data_rack: Option<String>,
-    /// Tasks of the step that may be on one worker; 0 means no limit.
+    /// Maximum number of this step's tasks on one worker; 0 means no limit.
     pub most_per_worker: u16,
     /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
-    /// Response time that a lasting task owes its own users, in milliseconds; 0 if
-    /// it has none.
+    /// Response time that a long-running task must give its own users, in milliseconds; 0
+    /// if it has none.
     pub target_ms: u64,
-    /// Whether the tasks only use processor time that others leave.
+    /// Whether the tasks use only processor time that other tasks leave idle.
     pub filling: bool,
-    /// Lasting tasks that may be away at once because of the system.
+    /// Number of long-running tasks that may be missing at the same time for reasons of
+    /// the system.
     pub may_miss: u16,
 }
 
 impl StepSpec {
-    /// Returns what a task takes of a worker's capacity.
+    /// Returns what a task takes of a worker's capacity. Best-effort tasks reserve no
+    /// processor time.
     pub const fn room(&self) -> Amount {
         let mut need = self.need;
         if self.filling {
@@ -50,77 +52,82 @@
     }
 }
 
-/// What a caller hands in.
+/// Job as submitted by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Submission {
-    /// Id.
+    /// Job id, chosen by the caller.
     pub id: JobId,
-    /// Text that the workers get.
+    /// Text passed to the workers with each start.
     pub text: String,
-    /// Steps.
+    /// Steps, in an order in which each depends on earlier ones only.
     pub steps: Vec<StepSpec>,
-    /// How often the steps run; 0 for once, without a due time.
+    /// Number of occurrences; 0 runs the steps once, without a due time.
     pub repeat: u32,
-    /// Due time of the first occurrence, in milliseconds since 1970.
+    /// Due time of the first occurrence, in milliseconds since the Unix epoch.
     pub first_ms: u64,
-    /// Time between occurrences, in milliseconds.
+    /// Interval between occurrences, in milliseconds.
     pub every_ms: u64,
 }
 
-/// Most occurrences of a job.
+/// Maximum number of occurrences of a job.
 const OCCURRENCES_MAX: u32 = 10_000;
-/// Most tasks of a job, over all occurrences.
+/// Maximum number of tasks of a job over all occurrences.
 const TASKS_MAX: u64 = 100_000;
 
-/// Longest estimate of a run time, in milliseconds: a year.
+/// Maximum estimate of a run time: one year.
 const ESTIMATE_MAX_MS: u64 = 365 * 24 * 3_600 * 1_000;
-/// Latest first due time, in milliseconds since 1970: the largest whole number that every
-/// writer of JSON can express.
+/// Latest due time of the first occurrence, in milliseconds since the Unix epoch: the
+/// largest integer that every JSON implementation represents exactly.
 const FIRST_MAX_MS: u64 = 1 << 53;
-/// Longest time between two occurrences, in milliseconds: a hundred years.
+/// Maximum interval between occurrences: one hundred years.
 const EVERY_MAX_MS: u64 = 100 * ESTIMATE_MAX_MS;
 
 impl Submission {
-    /// Checks that the steps refer to earlier ones only and sizes are in range.
+    /// Checks that steps depend only on earlier ones and that all sizes are in range.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong.
+    /// Returns a description of the first problem found.
     pub fn check(&self) -> Result<(), String> {
         if self.steps.is_empty() {
-            return Err("a job needs a step".to_owned());
+            return Err("a job must have at least one step".to_owned());
         }
         for (at, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
                 return Err(format!("step {at} has no tasks"));
             }
             if step.after.iter().any(|&before| usize::from(before) >= at) {
-                return Err(format!("step {at} must come after earlier steps only"));
+                return Err(format!("step {at} may depend on earlier steps only"));
             }
             let need = step.need;
             if need.cpu < 0 || need.memory < 0 || need.accelerators < 0 {
-                return Err(format!("step {at} needs less than nothing"));
+                return Err(format!(
+                    "step {at} requests a negative amount of a resource"
+                ));
             }
             if !need.is_in_range() {
-                return Err(format!("step {at} needs more than any worker can have"));
+                return Err(format!("step {at} requests more than any worker can offer"));
             }
             if step.estimate_ms > ESTIMATE_MAX_MS {
-                return Err(format!("step {at} is estimated at more than a year"));
+                return Err(format!(
+                    "the estimated run time of step {at} exceeds one year"
+                ));
             }
         }
         if self.first_ms > FIRST_MAX_MS || self.every_ms > EVERY_MAX_MS {
-            return Err("the due times are out of range".to_owned());
+            return Err("the first due time or the interval is out of range".to_owned());
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         let occurrences = u64::from(self.repeat.max(1));
         if self.repeat > OCCURRENCES_MAX || tasks * occurrences > TASKS_MAX {
-            return Err("the job has too many tasks".to_owned());
+            return Err("the job has too many tasks or occurrences".to_owned());
         }
         Ok(())
     }
 
-    /// Returns when an occurrence is due, in milliseconds since 1970.
+    /// Returns the due time of an occurrence, in milliseconds since the Unix epoch, or
+    /// `None` if the job does not repeat.
     pub const fn due_ms(&self, occurrence: u32) -> Option<u64> {
         if self.repeat == 0 {
             return None;
@@ -129,45 +136,45 @@
     }
 }
 
-/// Where a task stands.
+/// Scheduling phase of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It is to be placed.
+    /// Waits for placement.
     #[default]
     Waiting,
-    /// A worker may run it.
+    /// Assigned to a worker.
     Placed(WorkerKey),
-    /// It ended with success.
+    /// Completed successfully.
     Done,
 }
 
-/// A task.
+/// Replicated record of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// Number of its latest run; 0 before the first.
+    /// Number of the latest run; 0 before the first one.
     pub run: u32,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failed: u32,
-    /// Where it stands.
+    /// Scheduling phase.
     pub phase: Phase,
-    /// Progress that a next run resumes from.
+    /// Checkpoint that the next run resumes from.
     pub checkpoint: Option<Box<str>>,
 }
 
-/// One occurrence of a step.
+/// Replicated record of one occurrence of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Tasks.
+    /// Tasks, by index.
     pub tasks: Vec<Task>,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u16,
-    /// Tasks that are placed.
+    /// Number of tasks that are assigned to a worker.
     pub placed: u16,
-    /// Failed runs of a gang as a whole.
+    /// Number of failed runs of the gang as a whole.
     pub gang_failed: u32,
-    /// Latest run of a gang that counted as failed.
+    /// Latest run of the gang that was counted as failed.
     pub gang_failed_run: u32,
-    /// Whether a run of a gang has ended and its other members have not yet.
+    /// Whether a member of the gang has ended while others are still assigned to workers.
     pub breaking: bool,
 }
 
@@ -177,54 +184,54 @@
         usize::from(self.done) == self.tasks.len()
     }
 
-    /// Returns how many tasks are to be placed.
+    /// Returns the number of tasks that wait for placement.
     pub fn waiting(&self) -> usize {
         self.tasks.len() - usize::from(self.done) - usize::from(self.placed)
     }
 }
 
-/// How a job stands.
+/// State of a job as callers see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
     /// No task has started.
     #[default]
     Queued,
-    /// A task has started.
+    /// At least one task has started.
     Running,
     /// All tasks are done.
     Completed,
-    /// A task or gang failed as often as allowed.
+    /// A task or gang used up its attempts.
     Failed,
-    /// Its caller gave it up.
+    /// Cancelled by the caller.
     Cancelled,
 }
 
 impl Standing {
-    /// Returns whether nothing more is to be placed.
+    /// Returns whether the job has ended, so that none of its tasks is placed any more.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// A job that was accepted.
+/// Accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was handed in. Emptied when the job has ended.
+    /// Job as submitted. Its text and steps are cleared when the job ends.
     pub submission: Submission,
-    /// Queue.
+    /// Queue in the version under which the job was accepted.
     pub queue: QueueKey,
     /// Client account; absent on an open queue without a key.
     pub account: Option<AccountKey>,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time of acceptance, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// How it stands.
+    /// State as callers see it.
     pub standing: Standing,
-    /// Steps of each occurrence.
+    /// Steps of each occurrence; cleared when the job ends.
     pub occurrences: Vec<Vec<Step>>,
 }
 
 impl Job {
-    /// Makes an accepted job.
+    /// Creates a job without any started task.
     pub fn new(
         submission: Submission,
         queue: QueueKey,
@@ -250,28 +257,29 @@
         }
     }
 
-    /// Returns a step by name, if this job has it.
+    /// Returns a step and its specification, or `None` if the job has no such step.
     pub fn step(&self, name: StepName) -> Option<(&StepSpec, &Step)> {
         let spec = self.submission.steps.get(usize::from(name.step))?;
         let steps = self.occurrences.get(name.occurrence as usize)?;
         Some((spec, steps.get(usize::from(name.step))?))
     }
 
-    /// Returns a task by name, if this job has it.
+    /// Returns a task, its step and the step's specification, or `None` if the job has no
+    /// such task.
     pub fn task(&self, name: TaskName) -> Option<(&StepSpec, &Step, &Task)> {
         let (spec, step) = self.step(name.step)?;
         Some((spec, step, step.tasks.get(usize::from(name.index))?))
     }
 
-    /// Returns whether all predecessors of a step are done.
+    /// Returns whether all steps that this step depends on are done.
     pub fn is_unblocked(&self, occurrence: usize, step: usize) -> bool {
         let steps = &self.occurrences[occurrence];
         let mut before = self.submission.steps[step].after.iter();
         before.all(|&at| steps[usize::from(at)].is_done())
     }
 
-    /// Returns the estimated time of the longest chain of steps that are not done,
-    /// in milliseconds; of all steps if `whole`.
+    /// Returns the estimated length of the critical path through the steps that are not
+    /// done, or through all steps if `whole` is set, in milliseconds.
     pub fn chain_ms(&self, occurrence: usize, whole: bool) -> u64 {
         if let [only] = self.submission.steps.as_slice() {
             return only.estimate_ms;
@@ -286,7 +294,7 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Drops what an ended job no longer needs.
+    /// Frees the parts of the job that are not needed after its end.
     pub fn trim(&mut self) {
         self.submission.text = String::new();
         self.submission.steps = Vec::new();
--- a/src/core/plane/mod.rs
+++ b/src/core/plane/mod.rs
@@ -1,9 +1,8 @@
-//! The task plane of a whole cell.
+//! Task plane: scheduling of tasks on the workers of all availability zones.
 //!
-//! One leader places the tasks of all availability zones. Every start and every
-//! end of a run is in the replicated log, so that a new leader knows exactly which
-//! worker may run what. [`state`] is the replicated part, [`lead`] what only the
-//! leader knows.
+//! A single leader places all tasks. Every start and every end of a run goes through the
+//! replicated log, so that a new leader knows exactly which worker may run which task.
+//! [`state`] holds the replicated state, [`lead`] the leader's volatile state.
 
 pub mod codec;
 pub mod job;
--- a/src/core/plane/plan.rs
+++ b/src/core/plane/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration of a task plane: queues, services and client accounts.
+//! Configuration of the task plane: queues, services and client accounts.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,80 +7,79 @@
 
 use super::types::Amount;
 
-/// What asking for permission to use workers costs on a queue.
+/// Cost and validity of permits for the workers of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Permission {
-    /// Milliseconds for one question.
+    /// Fixed time that the permission service takes per question, in milliseconds.
     pub decide_ms: f64,
-    /// Milliseconds more for each worker named.
+    /// Additional time per worker named in the question, in milliseconds.
     pub each_ms: f64,
-    /// Milliseconds that a permission is valid.
+    /// Time for which a permit is valid, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// A queue.
+/// Queue that callers submit jobs to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Queue {
-    /// Name.
+    /// Name, which identifies the queue across versions.
     pub name: String,
-    /// Host that callers name.
+    /// Host name of the requests that belong to the queue.
     pub host: String,
-    /// Start of the paths that belong to it.
+    /// Path prefix of the requests that belong to the queue.
     pub prefix: String,
-    /// Service whose workers run its tasks.
+    /// Service whose workers run the queue's tasks.
     pub service: String,
-    /// Whether callers need no key.
+    /// Whether callers may use the queue without a key.
     pub open: bool,
-    /// Order among queues; 0 comes first and may preempt others.
+    /// Priority among queues. 0 is the highest, and may preempt others.
     pub priority: u32,
-    /// Failed runs after which a task is given up.
+    /// Number of failed runs after which a task fails its job.
     pub attempts: u32,
-    /// Response-time goal as a multiple of the job's longest chain.
+    /// Response-time goal relative to the job's critical path.
     pub stretch: f64,
-    /// Part of the response-time goal that does not depend on the job, in
-    /// milliseconds.
+    /// Fixed part of the response-time goal, in milliseconds.
     pub goal_ms: u64,
-    /// Longest time that a caller is kept, in milliseconds.
+    /// Maximum time in which a caller gets an answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Permission that its steps need.
+    /// Permit that each step of the queue needs, if any.
     pub permission: Option<Permission>,
 }
 
-/// Workers under one name.
+/// Named group of workers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Service {
-    /// Name.
+    /// Name that queues refer to.
     pub name: String,
-    /// Path at which its workers answer for their health.
+    /// Path of the workers' health check.
     pub health_path: String,
-    /// Whether its workers are off.
+    /// Whether the service's workers are switched off.
     pub spare: bool,
 }
 
-/// A client account.
+/// Client account.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Account {
-    /// Name.
+    /// Name, which identifies the account across versions.
     pub name: String,
-    /// Keys.
+    /// Secret keys that identify the account.
     pub keys: Vec<String>,
-    /// Share when all is full.
+    /// Fair-share weight when all resources are in use.
     pub weight: u64,
-    /// What it may have running; 0 means no limit.
+    /// Maximum resources in use at any time; 0 means no limit.
     pub cap: Amount,
 }
 
-/// Limits on what callers may send.
+/// Limits on the size of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Bytes of the head of a request.
+    /// Maximum size of the request line and headers.
     pub head_bytes: usize,
-    /// Bytes of the body of a request.
+    /// Maximum size of the body.
     pub body_bytes: usize,
 }
 
@@ -93,63 +92,63 @@
     }
 }
 
-/// One version of the configuration.
+/// Configuration of the task plane in one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Plan {
-    /// Version; the highest one is in force.
+    /// Version. The highest one applies; 0 means that none was received.
     pub version: u64,
-    /// Queues.
+    /// Queues that accept jobs.
     pub queues: Vec<Queue>,
-    /// Services.
+    /// Services that queues can name.
     pub services: Vec<Service>,
-    /// Client accounts.
+    /// Client accounts with valid keys.
     pub accounts: Vec<Account>,
-    /// Limits.
+    /// Limits on callers' requests.
     pub limits: Limits,
 }
 
-/// Why a configuration is refused.
+/// Reason for rejecting a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Invalid {
-    /// A queue names a service that is not in the configuration.
-    #[snafu(display("queue {queue} names the unknown service {service}"))]
+    /// A queue names an undefined service.
+    #[snafu(display("queue {queue} refers to the undefined service {service}"))]
     Service {
-        /// Queue.
+        /// Name of the queue.
         queue: String,
-        /// Service.
+        /// Name of the undefined service.
         service: String,
     },
-    /// Two queues have the same place.
-    #[snafu(display("two queues are at {host} {prefix}"))]
+    /// Two queues have the same host and path prefix.
+    #[snafu(display("two queues have the host {host} and the path prefix {prefix}"))]
     Place {
-        /// Host.
+        /// Host name.
         host: String,
         /// Path prefix.
         prefix: String,
     },
-    /// A queue has no timeout.
+    /// A queue has a timeout of zero.
     #[snafu(display("queue {queue} has a timeout of 0"))]
     Timeout {
-        /// Queue.
+        /// Name of the queue.
         queue: String,
     },
-    /// Two client accounts share a key.
-    #[snafu(display("accounts {first} and {second} share a key"))]
+    /// Two client accounts have the same key.
+    #[snafu(display("accounts {first} and {second} have a key in common"))]
     SharedKey {
-        /// One of them.
+        /// Name of the first account.
         first: String,
-        /// The other.
+        /// Name of the second account.
         second: String,
     },
 }
 
 impl Plan {
-    /// Checks what the types alone do not ensure.
+    /// Checks the consistency rules that the types alone do not ensure.
     ///
     /// # Errors
     ///
-    /// Returns the first rule that is broken.
+    /// Returns the first violation found.
     pub fn check(&self) -> Result<(), Invalid> {
         let services: HashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut places = HashSet::new();
@@ -187,7 +186,7 @@
         Ok(())
     }
 
-    /// Returns the queue of a host and path: the one with the longest prefix.
+    /// Returns the queue for a request's host and path. The longest matching prefix wins.
     pub fn queue_at(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
             .iter()
@@ -195,10 +194,11 @@
             .max_by_key(|q| q.prefix.len())
     }
 
-    /// Returns the client account that holds a key.
+    /// Returns the client account that a key belongs to.
     pub fn account_of(&self, key: &str) -> Option<&Account> {
         use subtle::ConstantTimeEq;
-        // Every key is compared, so that timing tells nothing of any of them.
+        // Compares all keys in constant time, so that the response time reveals nothing
+        // about any of them.
         let mut found = None;
         for account in &self.accounts {
             for known in &account.keys {
--- a/src/core/plane/state.rs
+++ b/src/core/plane/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of a task plane and the commands that change it.
+//! Replicated state of the task plane and the commands that change it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -9,110 +9,109 @@
 use super::types::{AccountKey, Amount, How, JobId, QueueKey, TaskName, WorkerKey};
 use super::worker::{Report, Run, Worker};
 
-/// Ended jobs are remembered for this long, in milliseconds, so that a repeated
-/// submission finds them. An hour is thirty times the longest status interval that
-/// callers are promised.
+/// Time for which an ended job is kept, in milliseconds, so that a repeated submission
+/// finds it. One hour is thirty times the longest status interval promised to callers.
 const RETENTION_MS: u64 = 3_600_000;
 
-/// A start of a run.
+/// Start of a run, as recorded in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Task.
+    /// Task to run.
     pub task: TaskName,
-    /// Number of the run.
+    /// Run number; later runs of a task have higher numbers.
     pub run: u32,
-    /// Worker.
+    /// Worker that may run the task.
     pub worker: WorkerKey,
 }
 
-/// An end of a run.
+/// End of a run, as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Task.
+    /// Task that ran.
     pub task: TaskName,
-    /// Number of the run.
+    /// Run number.
     pub run: u32,
-    /// Worker.
+    /// Worker to which the run was assigned.
     pub worker: WorkerKey,
-    /// How it ended.
+    /// Result of the run.
     pub how: How,
-    /// Progress that it saved.
+    /// Checkpoint that the run saved, if any.
     pub checkpoint: Option<Box<str>>,
 }
 
-/// A change of the replicated state.
+/// Command that changes the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a configuration in force, unless a higher version is.
+    /// Applies a configuration, unless the current version is the same or higher.
     Configure {
-        /// The configuration.
+        /// Configuration to apply.
         plan: Box<Plan>,
-        /// What the operator sent, to be shown again.
+        /// Configuration document as the operator sent it, returned on request.
         document: Vec<u8>,
     },
-    /// Records what a worker says of itself.
+    /// Registers a worker or updates its report.
     Register(Box<Report>),
-    /// Records that an incarnation of a worker has ended.
+    /// Marks an incarnation of a worker as ended.
     Depart(WorkerKey),
     /// Accepts a job.
     Submit {
-        /// What was handed in.
+        /// Job as submitted.
         submission: Box<Submission>,
-        /// Name of its queue.
+        /// Name of the queue.
         queue: String,
-        /// Name of the client account.
+        /// Name of the client account; absent on an open queue without a key.
         account: Option<String>,
-        /// When it was accepted, in milliseconds since 1970.
+        /// Time of acceptance, in milliseconds since the Unix epoch.
         at_ms: u64,
     },
-    /// Gives up a job.
+    /// Cancels a job.
     Cancel {
-        /// Job.
+        /// Job to cancel.
         job: JobId,
-        /// When it was given up, in milliseconds since 1970.
+        /// Time of the cancellation, in milliseconds since the Unix epoch.
         at_ms: u64,
     },
-    /// Records ends, then starts.
+    /// Records ends of runs, then starts.
     Progress {
-        /// Ends.
+        /// Runs that ended.
         ends: Vec<End>,
-        /// Starts.
+        /// Runs to start.
         starts: Vec<Start>,
-        /// When, in milliseconds since 1970.
+        /// Time of the entry, in milliseconds since the Unix epoch.
         at_ms: u64,
     },
 }
 
-/// The replicated state.
+/// Replicated state of the task plane.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
-    /// Configuration in force.
+    /// Current configuration.
     pub plan: Plan,
-    /// The configuration as it was sent.
+    /// Current configuration document as the operator sent it.
     pub document: Vec<u8>,
-    /// Every version of every queue.
+    /// Every version of every queue; indexed by [`QueueKey`].
     pub queues: Vec<Queue>,
-    /// Client accounts, also those that were removed.
+    /// Client accounts, including removed ones; indexed by [`AccountKey`].
     pub accounts: Vec<Account>,
-    /// What each account has running.
+    /// Resources in use by each account, in the order of the accounts.
     pub account_use: Vec<Amount>,
-    /// Jobs.
+    /// Open jobs, and ended ones within the retention time.
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that have not ended.
     pub open: BTreeSet<JobId>,
-    /// Ended jobs by the time of their end.
+    /// Ended jobs with the time of their end, in milliseconds since the Unix epoch.
     ended: VecDeque<(u64, JobId)>,
-    /// Incarnations of workers.
+    /// Incarnations of all workers, including ended ones; indexed by [`WorkerKey`].
     pub workers: Vec<Worker>,
-    /// Latest incarnation of each worker.
+    /// Latest incarnation of each worker, by worker id.
     pub worker_keys: HashMap<String, WorkerKey>,
     /// Index of the last applied log entry.
     pub applied: u64,
 }
 
 impl State {
-    /// Returns the jobs that ended at `at_ms`, if nothing ended later.
+    /// Returns the jobs that ended at `at_ms`, which must be the latest end recorded.
     pub fn ended_at(&self, at_ms: u64) -> impl Iterator<Item = JobId> {
         let latest = self.ended.iter().rev();
         latest
@@ -120,17 +119,17 @@
             .map(|&(_, job)| job)
     }
 
-    /// Returns a worker's incarnation.
+    /// Returns a worker incarnation.
     pub fn worker(&self, key: WorkerKey) -> &Worker {
         &self.workers[key.0 as usize]
     }
 
-    /// Returns a queue as it was when its jobs were accepted.
+    /// Returns the queue in the version under which its jobs were accepted.
     pub fn queue(&self, key: QueueKey) -> &Queue {
         &self.queues[key.0 as usize]
     }
 
-    /// Returns the incarnations that have not ended.
+    /// Returns the worker incarnations that have not ended.
     pub fn live_workers(&self) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         (0..)
             .map(WorkerKey)
@@ -138,16 +137,16 @@
             .filter(|(_, worker)| !worker.gone)
     }
 
-    /// Returns the service whose workers run the jobs of a queue now. A queue that
-    /// was removed keeps its last service while that exists.
+    /// Returns the service whose workers run the jobs of a queue under the current
+    /// configuration. A removed queue keeps the service it had last.
     pub fn service_of(&self, key: QueueKey) -> &str {
         let queue = self.queue(key);
         let current = self.plan.queues.iter().find(|q| q.name == queue.name);
         &current.unwrap_or(queue).service
     }
 
-    /// Returns whether a run is still wanted: its job is open, and the task is to
-    /// run there under that number.
+    /// Returns whether a run should go on: its job is open, the task is assigned to this
+    /// worker under this run number, and its gang is not being stopped.
     pub fn is_wanted(&self, worker: WorkerKey, task: TaskName, run: u32) -> bool {
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
@@ -161,7 +160,7 @@
         found.run == run && found.phase == Phase::Placed(worker) && !step.breaking
     }
 
-    /// Applies a command.
+    /// Applies a committed command. Commands that no longer fit the state are ignored.
     pub fn apply(&mut self, command: Command) {
         match command {
             Command::Configure { plan, document } => self.configure(*plan, document),
@@ -217,7 +216,7 @@
         if let Some(&key) = self.worker_keys.get(&report.id) {
             let known = &mut self.workers[key.0 as usize];
             if known.report.born_ms == report.born_ms {
-                // A worker that drains never takes work again in this incarnation.
+                // Draining is permanent within an incarnation.
                 let draining = known.report.draining || report.draining;
                 known.report = Report { draining, ..report };
                 return;
@@ -339,7 +338,7 @@
         self.settle(end, at_ms);
     }
 
-    // Carries an end over to the task, its gang and its job.
+    // Applies the end of a run to its task, gang and job.
     fn settle(&mut self, end: End, at_ms: u64) {
         let id = end.task.step.job;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -403,15 +402,15 @@
         .get_mut(usize::from(task.step.step))
 }
 
-// Takes a task from its worker.
+// Unassigns a task from its worker.
 fn release(step: &mut Step, index: usize, done: bool) {
     step.placed -= 1;
     step.tasks[index].phase = if done { Phase::Done } else { Phase::Waiting };
     step.done += u16::from(done);
 }
 
-// Returns whether the task or its gang has failed as often as allowed. A gang's run
-// counts once, however many of its members failed.
+// Counts a failed run and returns whether the task or its gang has used up its attempts.
+// A run of a gang counts once, however many of its members failed.
 fn count_failure(step: &mut Step, index: usize, gang: bool, run: u32, attempts: u32) -> bool {
     step.tasks[index].failed += 1;
     if gang && step.gang_failed_run != run {
--- a/src/core/plane/types.rs
+++ b/src/core/plane/types.rs
@@ -1,32 +1,32 @@
-//! Keys, names and amounts.
+//! Identifiers, resources and results of runs.
 
 use std::str::FromStr;
 
 use derive_more::{Add, AddAssign, Display, Sub, SubAssign};
 use serde::{Deserialize, Serialize};
 
-/// A queue in the arena of the state.
+/// Index of a queue version in the replicated state.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct QueueKey(pub u32);
 
-/// A client account in the arena of the state.
+/// Index of a client account in the replicated state.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct AccountKey(pub u32);
 
-/// A worker's incarnation in the arena of the state.
+/// Index of a worker incarnation in the replicated state.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct WorkerKey(pub u32);
 
-/// A job's id, chosen by its caller.
+/// Job id, chosen by the caller.
 #[derive(
     Clone,
     Copy,
@@ -45,7 +45,7 @@
 #[display("{_0:016x}")]
 pub struct JobId(pub u64);
 
-/// Digits of a job's id.
+/// Number of hexadecimal digits of a job id in text form.
 const JOB_ID_DIGITS: usize = 16;
 
 impl FromStr for JobId {
@@ -62,7 +62,7 @@
     }
 }
 
-/// One occurrence of a step of a job.
+/// Identifies one occurrence of a step of a job.
 #[derive(
     Clone,
     Copy,
@@ -79,15 +79,15 @@
 )]
 #[display("{job}.{occurrence}.{step}")]
 pub struct StepName {
-    /// Job.
+    /// Job that the step belongs to.
     pub job: JobId,
-    /// Occurrence, from 0.
+    /// Occurrence of the job, counted from 0.
     pub occurrence: u32,
-    /// Step, from 0.
+    /// Index of the step in the job, from 0.
     pub step: u16,
 }
 
-/// A task.
+/// Identifies a task.
 #[derive(
     Clone,
     Copy,
@@ -104,9 +104,9 @@
 )]
 #[display("{step}.{index}")]
 pub struct TaskName {
-    /// Its step.
+    /// Step that the task belongs to.
     pub step: StepName,
-    /// Position in the step, from 0.
+    /// Index of the task in the step, from 0.
     pub index: u16,
 }
 
@@ -114,7 +114,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || format!("`{text}` is not the name of a task");
+        let bad = || format!("`{text}` is not a task name of the form job.occurrence.step.index");
         let mut parts = text.split('.');
         let mut part = || parts.next().ok_or_else(bad);
         let step = StepName {
@@ -130,7 +130,7 @@
     }
 }
 
-/// An amount of what workers have.
+/// Resources of a worker, or that a task needs.
 #[derive(
     Clone,
     Copy,
@@ -146,20 +146,20 @@
     Deserialize,
 )]
 pub struct Amount {
-    /// Thousandths of a core.
+    /// Processor time, in thousandths of a core.
     pub cpu: i64,
-    /// Memory in megabytes.
+    /// Memory, in megabytes.
     pub memory: i64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: i64,
 }
 
-/// Most of anything that one task or worker can have; sums over a fleet and all its tasks
-/// stay in range.
+/// Maximum of each resource of a task or worker. Sums over a fleet and all its tasks stay
+/// within 64 bits.
 const AMOUNT_MAX: i64 = 1 << 40;
 
 impl Amount {
-    /// Returns whether no part is below nothing or beyond what can be.
+    /// Returns whether no resource is negative or above the maximum.
     pub fn is_in_range(&self) -> bool {
         let range = 0..=AMOUNT_MAX;
         range.contains(&self.cpu)
@@ -167,19 +167,19 @@
             && range.contains(&self.accelerators)
     }
 
-    /// Returns whether each part is at most that of `room`.
+    /// Returns whether every resource is at most that of `room`.
     pub const fn fits(&self, room: &Self) -> bool {
         self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
     }
 
-    /// Returns whether this stays within `cap`, where 0 means no limit.
+    /// Returns whether every resource is at most that of `cap`, where 0 means no limit.
     pub const fn is_within_cap(&self, cap: &Self) -> bool {
         (cap.cpu == 0 || self.cpu <= cap.cpu)
             && (cap.memory == 0 || self.memory <= cap.memory)
             && (cap.accelerators == 0 || self.accelerators <= cap.accelerators)
     }
 
-    /// Returns this amount `n` times.
+    /// Returns `n` times the resources.
     pub const fn times(&self, n: i64) -> Self {
         Self {
             cpu: self.cpu * n,
@@ -189,22 +189,22 @@
     }
 }
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display(rename_all = "snake_case")]
 pub enum How {
-    /// With success.
+    /// The task succeeded.
     Done,
-    /// With an error, the task's own or the worker's.
+    /// The task or its worker reported an error.
     Failed,
-    /// By an order.
+    /// The worker was ordered to stop the run.
     Stopped,
-    /// Its lease ran out.
+    /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of the gang did not start in time.
     Alone,
-    /// It never began, or its worker is gone.
+    /// The run never started, or its worker is gone.
     Void,
 }
--- a/src/core/plane/worker.rs
+++ b/src/core/plane/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the replicated state knows them.
+//! Workers in the replicated state.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +6,34 @@
 
 use super::types::{AccountKey, Amount, TaskName};
 
-/// What a worker says of itself.
+/// Self-description that a worker sends at intervals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// Id.
+    /// Worker id, the same in all incarnations.
     pub id: String,
-    /// Start of this incarnation, in milliseconds since 1970.
+    /// Start of this incarnation, in milliseconds since the Unix epoch.
     pub born_ms: u64,
-    /// Machine that it runs on, if it says so.
+    /// Machine that the worker runs on, if known.
     pub machine: Option<String>,
-    /// Service.
+    /// Service that the worker belongs to.
     pub service: String,
-    /// Address for orders.
+    /// Address that accepts orders.
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Whether it takes nothing new.
+    /// Whether the worker accepts no new runs.
     pub draining: bool,
-    /// Capacity.
+    /// Total resources for runs.
     pub capacity: Amount,
-    /// Labels; one of them names its rack.
+    /// Labels; the last one names the rack.
     pub labels: Vec<String>,
-    /// Number of the report within the incarnation.
+    /// Sequence number of the report within the incarnation.
     pub sequence: u64,
 }
 
 impl Report {
-    /// Returns whether another report of the same incarnation says the same, apart
-    /// from its number.
+    /// Returns whether two reports are equal apart from their sequence numbers.
     pub fn says_same(&self, other: &Self) -> bool {
         Self {
             sequence: other.sequence,
@@ -42,41 +41,41 @@
         } == *other
     }
 
-    /// Returns whether this incarnation came after `other` of the same worker.
+    /// Returns whether this incarnation started after that of `other`.
     pub const fn is_later(&self, other: &Self) -> bool {
         self.born_ms > other.born_ms
     }
 }
 
-/// A run that a worker may have.
+/// Run that is assigned to a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Number.
+    /// Run number.
     pub run: u32,
-    /// What it takes of the worker's capacity.
+    /// Share of the worker's capacity that the run takes.
     pub room: Amount,
-    /// What it takes of the account's cap.
+    /// Resources counted towards the account's cap.
     pub need: Amount,
-    /// Client account.
+    /// Client account that the run is counted for.
     pub account: Option<AccountKey>,
 }
 
-/// A worker's incarnation.
+/// Incarnation of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Latest report that changed anything.
+    /// Latest report that differs from the one before in more than its sequence number.
     pub report: Report,
-    /// Whether this incarnation has ended for good.
+    /// Whether this incarnation has ended. It never comes back.
     pub gone: bool,
-    /// Runs that were logged as started and not as ended.
+    /// Runs whose start is in the log and whose end is not.
     pub runs: BTreeMap<TaskName, Run>,
-    /// Sum of what the runs take.
+    /// Capacity taken by the runs.
     pub used: Amount,
 }
 
 impl Worker {
-    /// Returns the label that names the rack. Labels are the worker's kind followed
-    /// by its rack.
+    /// Returns the label that names the rack: the last one, which follows the worker's
+    /// kind.
     pub fn rack(&self) -> Option<&str> {
         self.report.labels.last().map(String::as_str)
     }
