--- a/src/core/plane/lead/channel.rs
+++ b/src/core/plane/lead/channel.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one worker.
+//! The leader's view of a worker: its runs, clock, leases and health.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,73 +6,76 @@
 use crate::core::plane::types::{Amount, TaskName, WorkerKey};
 use crate::core::time::Moment;
 
-/// A worker that left an order unanswered for this long gets nothing new.
+/// A worker with an order unanswered for longer than this is unresponsive: its leases are
+/// not renewed.
 pub const SILENCE_MAX: Duration = Duration::from_millis(1_200);
-/// A worker of which nothing was heard for this long gets nothing new: two of its
-/// reports are missing. It is looked at after half of that.
+/// A worker that has neither answered nor reported for this long gets no new runs: two of
+/// its reports are missing. It is inspected after half of that time.
 const UNHEARD_MAX: Duration = Duration::from_millis(4_000);
-/// Score of failures from which on a worker is left alone: two failures with no more
-/// than one success between them.
+/// Failure score from which on a worker is excluded from placement: two failures with at
+/// most one success between them.
 const FAILURES_MAX: f64 = 1.6;
-/// What a success leaves of the score.
+/// Factor by which a success reduces the failure score.
 const FAILURES_KEPT: f64 = 0.7;
-/// Time in which the score halves.
+/// Half-life of the failure score.
 const FAILURES_HALF: Duration = Duration::from_secs(8);
-/// First time that a failing worker is left alone; it doubles with each failure.
+/// Initial time for which a failing worker is excluded from placement. It doubles with
+/// each repetition.
 const AVOID_FIRST: Duration = Duration::from_secs(3);
-/// Longest time that a failing worker is left alone.
+/// Maximum time for which a failing worker is excluded from placement.
 const AVOID_MAX: Duration = Duration::from_secs(24);
-/// How far a worker's clock may fall behind ours, as a divisor: 2 %.
+/// Maximum rate by which a worker's clock falls behind the leader's, as a divisor: 2 %.
 const CLOCK_SLOW_DIVISOR: u64 = 50;
-/// Weight of the latest run in a worker's speed.
+/// Weight of the latest run in the moving average of a worker's speed.
 const SPEED_WEIGHT: f64 = 0.25;
 
-/// A reading of a worker's clock.
+/// Sample of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
-    /// Its clock, in milliseconds.
+    /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// When the reading came.
+    /// Time at which the sample arrived.
     pub at: Moment,
 }
 
 impl Reading {
-    /// Returns what the clock shows now if it runs as ours.
+    /// Returns the expected reading of the clock now, if it runs at the leader's rate.
     pub fn likely(&self, now: Moment) -> u64 {
         self.clock_ms + now.since(self.at).as_millis() as u64
     }
 
-    /// Returns the least that the clock can show now.
+    /// Returns the lowest possible reading of the clock now.
     pub fn least(&self, now: Moment) -> u64 {
         let passed = now.since(self.at).as_millis() as u64;
         self.clock_ms + passed - passed / CLOCK_SLOW_DIVISOR
     }
 }
 
-/// What a run means for placing others beside it.
+/// Properties of a run that affect the placement of other tasks on the same worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Nature {
-    /// Processor time that it takes as urgent work, in thousandths of a core.
+    /// Processor time taken by urgent work, in thousandths of a core.
     pub urgent_cpu: i64,
-    /// Whether it has users of its own.
+    /// Whether the task has a response-time target for users of its own.
     pub serving: bool,
-    /// Whether it only fills.
+    /// Whether the task uses only processor time that others leave idle.
     pub filling: bool,
 }
 
-/// How far a run is, by its worker's lists.
+/// Progress of a run, as listed by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Percent.
+    /// Percentage done.
     pub percent: u32,
-    /// When a list first showed it.
+    /// Time at which a list first showed this percentage.
     pub since: Moment,
-    /// When a list last showed it. While no list comes, nothing is known.
+    /// Time of the latest list that showed the run. Between lists the progress is
+    /// unknown.
     pub shown_at: Moment,
 }
 
 impl Progress {
-    /// Takes a list that shows `percent`.
+    /// Updates the progress from a list that shows `percent`.
     pub fn update(known: Option<Self>, now: Moment, percent: u32) -> Self {
         let since = known
             .filter(|known| known.percent == percent)
@@ -84,101 +87,104 @@
         }
     }
 
-    /// Returns for how long the run has made no progress, as far as lists that come each
-    /// `interval` tell. The time for which they are overdue does not count.
+    /// Returns how long the run has made no progress, given that lists are expected every
+    /// `interval`. Time for which a list is overdue does not count.
     pub fn standstill(&self, now: Moment, interval: Duration) -> Duration {
         now.min(self.shown_at + interval).since(self.since)
     }
 }
 
-/// What the leader knows of a run that may be on the worker.
+/// Run that may be on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Live {
-    /// Run.
+    /// Run number.
     pub run: u32,
-    /// When the worker confirmed the start; or listed the run.
+    /// Time at which the worker confirmed the start or first listed the run.
     pub confirmed_at: Option<Moment>,
-    /// Whether a list of this incarnation has shown it.
+    /// Whether the worker has listed the run in this incarnation.
     pub listed: bool,
-    /// When the start was ordered.
+    /// Time at which the start was ordered.
     pub ordered_at: Moment,
-    /// Whether the start had no answer.
+    /// Whether the start order was left unanswered.
     pub in_doubt: bool,
-    /// The earlier incarnation that it was ordered from, if its start may have reached
-    /// this one. Its stop is ordered, and its end is reported for the earlier one.
+    /// Earlier incarnation that was ordered to start the run, if the order may have
+    /// reached this one instead. The run is stopped here, and its end is recorded for the
+    /// earlier incarnation.
     pub from: Option<WorkerKey>,
-    /// When a stop was last ordered.
+    /// Time of the latest stop order.
     pub stop_at: Option<Moment>,
-    /// When the worker confirmed a stop.
+    /// Time at which the worker confirmed a stop.
     pub stopped_at: Option<Moment>,
-    /// Latest progress that the worker told.
+    /// Latest progress that the worker listed.
     pub progress: Option<Progress>,
-    /// Whether an end has been proposed.
+    /// Whether the end of the run is proposed and not yet committed.
     pub ending: bool,
-    /// What it is to placing.
+    /// Effect on the placement of other tasks.
     pub nature: Nature,
 }
 
-/// What the leader knows of a worker.
+/// The leader's view of a worker incarnation.
 #[derive(Clone, Debug)]
 pub struct Channel {
-    /// Whether it answered a look with this leader's fence.
+    /// Whether the worker has answered an inspection of this leader's term.
     pub adopted: bool,
-    /// Latest reading of its clock.
+    /// Latest sample of the worker's clock.
     pub reading: Option<Reading>,
-    /// When it last answered anything.
+    /// Time of the latest answer to any order.
     pub heard_at: Moment,
-    /// Latest report received.
+    /// Time of the latest report.
     pub reported_at: Moment,
-    /// Latest end of a lease that was sent, on its clock.
+    /// Latest lease expiry that was sent, in milliseconds on the worker's clock.
     pub until: u64,
-    /// When everything that earlier leaders ordered has surely lapsed.
+    /// Time by which all runs ordered by earlier leaders have ended, unless their leases
+    /// were renewed.
     pub lapse_by: Moment,
-    /// Ends up to this number are stored.
+    /// Number of the latest end up to which all ends are committed.
     pub seen: u64,
-    /// Ends up to this number the worker knows to be stored.
+    /// Number up to which the worker knows its ends to be committed.
     pub told_seen: u64,
-    /// Ends up to this number have been proposed.
+    /// Number of the latest end that was proposed.
     pub proposed: u64,
-    /// Look under way.
+    /// Number of the outstanding inspection.
     pub look: Option<u64>,
-    /// When the next look is due.
+    /// Time at which the next inspection is due.
     pub look_at: Moment,
-    /// When an order was first left unanswered since the last answer.
+    /// Time of the first unanswered order since the latest answer.
     pub unanswered_since: Option<Moment>,
-    /// Runs.
+    /// Runs that may be on the worker, by task.
     live: BTreeMap<TaskName, Live>,
-    /// Runs whose end is proposed and not committed.
+    /// Number of runs whose end is proposed and not yet committed.
     ending: usize,
-    /// Runs that an earlier incarnation was to start.
+    /// Number of runs that were ordered from an earlier incarnation.
     inherited: usize,
-    /// Runs in its latest list that it should not have.
+    /// Number of runs in the latest list that the leader did not expect there.
     pub strays: usize,
-    /// Sums of what the runs are to placing.
+    /// Processor time taken by urgent runs, in thousandths of a core.
     pub urgent_cpu: i64,
-    /// Runs with users of their own.
+    /// Number of runs with a response-time target for users of their own.
     pub serving: usize,
-    /// Runs that only fill.
+    /// Number of runs that use only processor time that others leave idle.
     pub filling: usize,
-    /// Rack, as the leader numbers them.
+    /// Index that the leader assigned to the rack.
     pub rack: u32,
-    /// What planned starts will take.
+    /// Resources reserved for planned starts that are not yet committed.
     pub reserved: Amount,
-    /// Score of failures: one for each, less with each success and with time.
+    /// Failure score: one per failure, reduced by each success and over time.
     failures: f64,
     failures_at: Moment,
-    /// How often in a row the worker was left alone.
+    /// Number of times in a row that the worker was excluded from placement.
     avoided: u32,
-    /// The worker gets nothing before this.
+    /// Time until which the worker is excluded from placement.
     pub avoid_until: Moment,
-    /// Run time relative to what is expected.
+    /// Moving average of run times relative to the expected ones.
     pub slowness: f64,
-    /// When the worker said that it ends.
+    /// Time at which the worker announced that it shuts down.
     pub departing: Option<Moment>,
 }
 
 impl Channel {
-    /// Makes the record of a worker whose earlier orders lapse by `lapse_by`.
+    /// Creates the view of a worker. All runs from earlier terms have ended by `lapse_by`
+    /// unless their leases are renewed.
     pub fn new(now: Moment, lapse_by: Moment, rack: u32) -> Self {
         Self {
             adopted: false,
@@ -211,17 +217,17 @@
         }
     }
 
-    /// Returns the runs.
+    /// Returns the runs that may be on the worker.
     pub const fn live(&self) -> &BTreeMap<TaskName, Live> {
         &self.live
     }
 
-    /// Returns a run, to be changed in place.
+    /// Returns a run of a task for modification, if it has this run number.
     pub fn run_mut(&mut self, task: TaskName, run: u32) -> Option<&mut Live> {
         self.live.get_mut(&task).filter(|live| live.run == run)
     }
 
-    /// Adds a run.
+    /// Adds a run. Replaces an earlier run of the same task.
     pub fn insert(&mut self, task: TaskName, live: Live) {
         self.remove(task);
         self.urgent_cpu += live.nature.urgent_cpu;
@@ -243,7 +249,8 @@
         self.inherited -= usize::from(live.from.is_some());
     }
 
-    /// Records that a run's end is proposed. False if it is not known or was before.
+    /// Marks the end of a run as proposed. Returns false if the run is unknown or was
+    /// marked before.
     pub fn begin_end(&mut self, task: TaskName, run: u32) -> bool {
         let Some(live) = self.run_mut(task, run).filter(|live| !live.ending) else {
             return false;
@@ -253,41 +260,42 @@
         true
     }
 
-    /// Returns whether ends are proposed and not committed.
+    /// Returns whether any end is proposed and not yet committed.
     pub const fn is_storing(&self) -> bool {
         self.ending > 0
     }
 
-    /// Records an answer with the worker's clock.
+    /// Records an answer that carries the worker's clock.
     pub fn hear(&mut self, now: Moment, clock_ms: u64) {
         self.heard_at = now;
         self.unanswered_since = None;
         self.reading = Some(Reading { clock_ms, at: now });
     }
 
-    /// Records that an order had no answer.
+    /// Records that the order sent at `sent_at` was not answered.
     pub fn miss(&mut self, sent_at: Moment) {
         self.unanswered_since.get_or_insert(sent_at);
     }
 
-    /// Returns whether the worker has left orders unanswered for too long.
+    /// Returns whether an order has been unanswered for longer than [`SILENCE_MAX`].
     pub fn is_silent(&self, now: Moment) -> bool {
         self.unanswered_since
             .is_some_and(|at| now.since(at) > SILENCE_MAX)
     }
 
-    /// Returns whether a worker has neither answered nor reported for `limit`.
+    /// Returns whether the worker has neither answered nor reported for `limit`.
     pub fn is_unheard(&self, now: Moment, limit: Duration) -> bool {
         now.since(self.heard_at.max(self.reported_at)) >= limit
     }
 
-    /// Returns whether a look should find out if the worker is still there.
+    /// Returns whether the worker should be inspected to find out whether it is still
+    /// alive.
     pub fn needs_look(&self, now: Moment) -> bool {
         self.is_unheard(now, UNHEARD_MAX / 2)
     }
 
-    /// Returns whether new runs may be ordered. Runs that the state does not count for
-    /// the worker take room of it.
+    /// Returns whether the worker may get new runs. Runs that the replicated state does
+    /// not count for the worker take up part of its capacity.
     pub fn is_usable(&self, now: Moment) -> bool {
         self.adopted
             && self.inherited == 0
@@ -299,14 +307,15 @@
             && (self.failures(now) < FAILURES_MAX || self.live.is_empty())
     }
 
-    /// Returns the lease end for an order sent now, on the worker's clock.
+    /// Returns the lease expiry for an order sent now, in milliseconds on the worker's
+    /// clock, or `None` if that clock is unknown.
     pub fn lease_end(&mut self, now: Moment, hold: Duration) -> Option<u64> {
         let until = self.reading?.likely(now) + hold.as_millis() as u64;
         self.until = self.until.max(until);
         Some(until)
     }
 
-    /// Returns whether every lease on the worker has surely run out.
+    /// Returns whether every lease granted to the worker has certainly expired.
     pub fn has_lapsed(&self, now: Moment) -> bool {
         if now < self.lapse_by {
             return false;
@@ -315,14 +324,14 @@
             .is_none_or(|reading| reading.least(now) > self.until)
     }
 
-    /// Returns the score of failures.
+    /// Returns the current failure score.
     pub fn failures(&self, now: Moment) -> f64 {
         let halves = now.since(self.failures_at).as_secs_f64() / FAILURES_HALF.as_secs_f64();
         self.failures * 0.5_f64.powf(halves)
     }
 
-    /// Records a failure that counts `weight`; yields for how long the worker is left
-    /// alone, if it is.
+    /// Adds `weight` to the failure score. Returns for how long the worker is excluded
+    /// from placement, if it is.
     pub fn fail(&mut self, now: Moment, weight: f64) -> Option<Duration> {
         self.failures = self.failures(now) + weight;
         self.failures_at = now;
@@ -337,7 +346,7 @@
         Some(wait)
     }
 
-    /// Records a successful run that took `ratio` of the expected time.
+    /// Records a successful run that took `ratio` times as long as expected.
     pub fn succeed(&mut self, now: Moment, ratio: f64) {
         self.failures = self.failures(now) * FAILURES_KEPT;
         self.failures_at = now;
--- a/src/core/plane/lead/io.rs
+++ b/src/core/plane/lead/io.rs
@@ -1,4 +1,4 @@
-//! What the leader is told and what it wants done.
+//! Inputs and outputs of the leader.
 
 use std::time::Duration;
 
@@ -10,416 +10,421 @@
 use crate::core::plane::worker::Report;
 use crate::core::registry::InstanceId;
 
-/// A question of a caller, a worker or an operator; its answer repeats the number.
+/// Number of a query from a caller, worker or operator. The answer carries the same
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Call(pub u64);
 
-/// What a caller wants, as its entry instance read it.
+/// Request of a caller, as parsed by its entry instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Host that it named.
+    /// Host name in the request.
     pub host: String,
-    /// Path: the queue's prefix, then the job's id or nothing.
+    /// Path: the queue's prefix, followed by the job id or nothing.
     pub path: String,
-    /// Key that came with it.
+    /// Key in the request, if any.
     pub key: Option<String>,
-    /// What is to be done.
+    /// Requested action.
     pub action: Action,
 }
 
-/// What is to be done with a job or a queue.
+/// Action on a job or queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Accept a job; its id comes from the path.
+    /// Submits a job. The job id is taken from the path.
     Submit(Box<Submission>),
-    /// Tell how a job or a queue stands.
+    /// Returns the state of a job or queue.
     Show,
-    /// Give up a job.
+    /// Cancels a job.
     Cancel,
 }
 
-/// A question to the leader.
+/// Query to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Query {
-    /// Of a caller.
+    /// Request of a caller.
     Request(Box<Request>),
-    /// A worker's report.
+    /// Report of a worker.
     Report(Box<Report>),
-    /// A worker that is about to end.
+    /// Id of a worker that announces its shutdown.
     Depart(String),
-    /// A new configuration.
+    /// Configuration to apply.
     Configure {
-        /// The configuration.
+        /// Parsed configuration.
         plan: Box<crate::core::plane::plan::Plan>,
-        /// What the operator sent.
+        /// Configuration document as the operator sent it.
         document: Vec<u8>,
     },
-    /// The configuration in force.
+    /// Requests the current configuration.
     Configuration,
 }
 
 /// Answer of the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It is done and stored.
+    /// The change is committed.
     Done,
-    /// How a job stands.
+    /// State of a job.
     Standing(Standing),
-    /// Accepted jobs of a queue for which no task has started.
+    /// Number of accepted jobs of a queue that have no started task.
     Pending(u64),
-    /// There is no such job.
+    /// The job does not exist.
     Gone,
-    /// There is no such queue.
+    /// The queue does not exist.
     NotFound,
-    /// The key is not known.
+    /// The key is missing or unknown.
     Unauthorized,
-    /// What was sent is not valid.
+    /// The query is invalid, with a description of the problem.
     Malformed(String),
-    /// The configuration in force, as it was sent.
+    /// Current configuration document as the operator sent it.
     Configuration(Vec<u8>),
-    /// Nothing was done, and nothing will be.
+    /// The query has had no effect and will have none.
     Unavailable {
-        /// When to come back, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_ms: u64,
-        /// Why.
+        /// Reason.
         why: Refusal,
     },
-    /// It may have been done or not.
+    /// The outcome is unknown: the change may or may not be committed.
     Unknown,
-    /// The instance that was asked does not lead; nothing was done.
+    /// The instance is not the leader. The query has had no effect.
     NotLeader,
 }
 
-/// Why nothing was done.
+/// Reason why a query has had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// There is no configuration yet.
+    /// No configuration has been applied yet.
     NoConfiguration,
-    /// No leader can be reached.
+    /// No leader is reachable.
     NoLeader,
-    /// More work is waiting than can be served in time.
+    /// More work is queued than can be served in time.
     Overloaded,
 }
 
-/// An order to a worker.
+/// Order to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// Number; its reply repeats it.
+    /// Number of the order. The reply carries the same number.
     pub number: u64,
     /// Id of the worker.
     pub worker: String,
-    /// Its address.
+    /// Address of the worker.
     pub address: String,
-    /// Fence: workers ignore orders below the highest they have seen.
+    /// Fencing token. Workers reject orders with a lower token than the highest they have
+    /// seen.
     pub fence: u64,
-    /// Time that the reply may take.
+    /// Time to wait for the reply.
     pub timeout: Duration,
-    /// What is to be done.
+    /// Content of the order.
     pub task: Work,
 }
 
-/// What a worker is to do.
+/// Content of an order to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// Start a run.
+    /// Starts a run.
     Start {
-        /// Task.
+        /// Task to run.
         task: TaskName,
-        /// Run.
+        /// Run number.
         run: u32,
         /// Text of the job.
         text: String,
-        /// End of the lease, in milliseconds on the worker's clock.
+        /// Lease expiry, in milliseconds on the worker's clock.
         until: u64,
-        /// Progress to resume from.
+        /// Checkpoint to resume from.
         checkpoint: Option<Box<str>>,
-        /// Permission to run the step there.
+        /// Permit to run the step on this worker.
         permit: Option<String>,
     },
-    /// Stop a run, or see to it that it never starts.
+    /// Stops a run, or prevents it from starting.
     Stop {
-        /// Task.
+        /// Task to stop.
         task: TaskName,
-        /// Run.
+        /// Run number.
         run: u32,
     },
-    /// Tell what runs and what ended, and lengthen the lease.
+    /// Inspects the worker: requests its lists of current and ended runs and renews the
+    /// lease.
     Look {
-        /// End of the lease; none leaves it as it is.
+        /// New lease expiry, in milliseconds on the worker's clock; `None` does not renew
+        /// it.
         until: Option<u64>,
-        /// Ends up to this number are stored and may be forgotten.
+        /// Ends up to this number are committed; the worker may drop them.
         seen: u64,
-        /// Longest time to wait for an end.
+        /// Maximum time for which the worker delays its reply until a run ends.
         wait: Duration,
     },
 }
 
-/// A run that a worker has.
+/// Current run in a worker's lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningRow {
-    /// Task.
+    /// Task that runs.
     pub task: TaskName,
-    /// Run.
+    /// Run number.
     pub run: u32,
-    /// Progress that it saved.
+    /// Latest checkpoint that the run saved.
     pub checkpoint: Option<Box<str>>,
-    /// Progress in percent.
+    /// Progress as a percentage.
     pub percent: u32,
 }
 
-/// An end that a worker lists.
+/// Ended run in a worker's lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndRow {
-    /// Number within the incarnation.
+    /// Sequence number of the end within the worker's incarnation.
     pub number: u64,
-    /// Task.
+    /// Task that ran.
     pub task: TaskName,
-    /// Run.
+    /// Run number.
     pub run: u32,
-    /// How it ended.
+    /// Result of the run.
     pub how: How,
-    /// Progress that it saved.
+    /// Latest checkpoint that the run saved.
     pub checkpoint: Option<Box<str>>,
 }
 
-/// What a worker has and what ended on it.
+/// Current and ended runs of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Lists {
-    /// Start of the incarnation, in milliseconds since 1970, if told.
+    /// Start of the worker's incarnation, in milliseconds since the Unix epoch, if known.
     pub born_ms: Option<u64>,
-    /// Runs.
+    /// Current runs.
     pub running: Vec<RunningRow>,
-    /// Ends.
+    /// Ended runs that are not yet known to be committed.
     pub ended: Vec<EndRow>,
 }
 
-/// Why a worker refused a start. It has done nothing.
+/// Reason why a worker declined a start order. The order has had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Declined {
-    /// The fence is below one it has seen.
+    /// The fencing token is lower than one the worker has seen.
     Fence,
-    /// The run is not above one that was stopped or ended there.
+    /// The worker has stopped or ended this run of the task or a later one.
     Old,
-    /// The lease is over already.
+    /// The lease has already expired.
     Late,
-    /// It has no room.
+    /// The worker has too little free capacity.
     Room,
-    /// The permission is missing or over.
+    /// The permit is missing or has expired.
     Permit,
-    /// It is not well.
+    /// The worker is unhealthy.
     Unhealthy,
-    /// It does not understand the order.
+    /// The worker cannot parse the order.
     Malformed,
 }
 
-/// What came back for an order.
+/// Reply to an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Done. Carries the worker's clock, in milliseconds.
+    /// The order was carried out. Holds the worker's clock, in milliseconds.
     Done(u64),
-    /// Not done.
+    /// The start order was declined.
     Declined(Declined),
-    /// The lists that were asked for and the worker's clock, in milliseconds.
+    /// Worker's clock, in milliseconds, and the requested lists.
     Lists(u64, Lists),
-    /// Another incarnation answered.
+    /// Another incarnation of the worker replied.
     Replaced,
     /// The order was not sent.
     NotSent,
-    /// There was no usable answer; the order may be carried out, also later.
+    /// No valid reply arrived. The order may have been carried out or may still be.
     NoAnswer,
 }
 
-/// A question to the permission service.
+/// Request to the permission service: which of these workers may run a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Question {
-    /// Number; its answer repeats it.
+    /// Number of the request. The answer carries the same number.
     pub number: u64,
-    /// Step.
+    /// Step to be run.
     pub step: StepName,
-    /// Ids of workers.
+    /// Ids of the workers to be permitted.
     pub workers: Vec<String>,
-    /// Time that the answer may take, in milliseconds.
+    /// Time to wait for the answer, in milliseconds.
     pub timeout_ms: u64,
 }
 
 /// Answer of the permission service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Permission {
-    /// Workers that may run the step, each with a permit.
+    /// Ids of the workers that may run the step, each with a permit.
     Granted(Vec<(String, String)>),
-    /// Too many questions are waiting there.
+    /// The service rejected the request because too many are queued.
     Busy,
-    /// There was no usable answer.
+    /// No valid answer arrived.
     NoAnswer,
 }
 
-/// What the leader wants done.
+/// Action that the caller of the leader has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Put a command into the log, then give the answers.
+    /// Proposes a command to the log, and gives the answers once it is committed.
     Propose(Command, Vec<(Call, Answer)>),
-    /// Give an answer.
+    /// Answers a query.
     Answer(Call, Answer),
-    /// Send an order to a worker.
+    /// Sends an order to a worker.
     Order(Order),
-    /// Have an instance ask the permission service.
+    /// Has an instance send a request to the permission service.
     Ask(InstanceId, Question),
-    /// Write an event to the log of events.
+    /// Writes an event to the event log.
     Note(Note),
 }
 
-/// Something worth a log line.
+/// Event for the event log.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Note {
-    /// A job was accepted or found again.
+    /// A job was accepted, or submitted again.
     JobAccepted {
-        /// Job.
+        /// Job id.
         job: String,
-        /// Queue.
+        /// Name of the queue.
         queue: String,
-        /// Account.
+        /// Name of the client account.
         account: Option<String>,
-        /// Whether it was there before.
+        /// Whether the job was submitted before.
         repeated: bool,
-        /// Version of the configuration that decided.
+        /// Version of the configuration in effect.
         version: u64,
     },
-    /// A request was refused.
+    /// A query was refused.
     Refused {
-        /// Path of the request.
+        /// Request path, job id or other subject of the query.
         path: String,
-        /// Why.
+        /// Reason.
         why: String,
-        /// Version of the configuration that decided.
+        /// Version of the configuration in effect.
         version: u64,
     },
-    /// A job was given up by its caller.
+    /// A job was cancelled by its caller.
     JobCancelled {
-        /// Job.
+        /// Job id.
         job: String,
     },
     /// All tasks of a job are done.
     JobCompleted {
-        /// Job.
+        /// Job id.
         job: String,
-        /// Time since it was accepted, in milliseconds.
+        /// Time since acceptance, in milliseconds.
         took_ms: u64,
     },
-    /// A task or gang of a job failed as often as allowed.
+    /// A task or gang of a job used up its attempts.
     JobFailed {
-        /// Job.
+        /// Job id.
         job: String,
-        /// Time since it was accepted, in milliseconds.
+        /// Time since acceptance, in milliseconds.
         took_ms: u64,
     },
-    /// A run was placed.
+    /// A run was assigned to a worker.
     Placed {
-        /// Task.
+        /// Name of the task.
         task: String,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// Time since the job was accepted, in milliseconds.
+        /// Time since acceptance of the job, in milliseconds.
         waited_ms: u64,
     },
     /// A run ended.
     Ended {
-        /// Task.
+        /// Name of the task.
         task: String,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// How.
+        /// Result of the run.
         how: How,
-        /// What told: a list, a refusal, a lapsed lease.
+        /// How the leader learned of the end, such as from the worker's list or an
+        /// expired lease.
         by: &'static str,
     },
-    /// A run is stopped.
+    /// A stop order was sent.
     Stopping {
-        /// Task.
+        /// Name of the task.
         task: String,
-        /// Run.
+        /// Run number.
         run: u32,
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// Why.
+        /// Reason.
         why: &'static str,
     },
-    /// An order had no answer.
+    /// An order was left unanswered.
     OrderLost {
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// Time since its latest answer, in milliseconds.
+        /// Time since the worker's latest answer, in milliseconds.
         silent_ms: u64,
     },
-    /// A worker was registered or changed.
+    /// A worker registered or changed its report.
     WorkerChanged {
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// Start of its incarnation.
+        /// Start of the incarnation, in milliseconds since the Unix epoch.
         born_ms: u64,
-        /// Whether it drains.
+        /// Whether the worker is draining.
         draining: bool,
     },
-    /// A worker is gone.
+    /// A worker shuts down, or its runs count as ended.
     WorkerGone {
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// What told.
+        /// How the leader learned of it.
         by: &'static str,
     },
-    /// A worker answered the first look of this term.
+    /// A worker answered the first inspection of this term.
     WorkerAdopted {
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// Fence.
+        /// Fencing token of the leader.
         fence: u64,
-        /// Runs that it has.
+        /// Number of runs that the worker listed.
         running: usize,
     },
-    /// A worker is left alone for a while.
+    /// A failing worker is excluded from placement for some time.
     WorkerAvoided {
-        /// Worker.
+        /// Id of the worker.
         worker: String,
-        /// Score of failures.
+        /// Failure score of the worker.
         failures: f64,
-        /// For how long, in milliseconds.
+        /// Duration of the exclusion, in milliseconds.
         for_ms: u64,
     },
-    /// The permission service answered or did not.
+    /// A permission request was answered or timed out.
     Permission {
-        /// Step.
+        /// Name of the step.
         step: String,
-        /// Workers named.
+        /// Number of workers in the request.
         named: usize,
-        /// Workers granted; absent without an answer.
+        /// Number of workers that got a permit; absent without an answer.
         granted: Option<usize>,
-        /// Time taken, in milliseconds.
+        /// Time until the answer, in milliseconds.
         took_ms: u64,
     },
-    /// A configuration is in force.
+    /// A configuration was applied.
     Configured {
-        /// Version.
+        /// Version in effect.
         version: u64,
     },
 }
 
-/// Where an order belongs.
+/// Record of an order that awaits its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// Worker.
+    /// Incarnation that the order was meant for.
     pub worker: WorkerKey,
-    /// Task and run of a start or stop; none for a look.
+    /// Task and run number of a start or stop; `None` for an inspection.
     pub run: Option<(TaskName, u32)>,
-    /// Whether it is a start.
+    /// Whether the order is a start.
     pub is_start: bool,
-    /// Ends that a look said to be stored.
+    /// Number up to which an inspection acknowledged ends as committed.
     pub seen: u64,
-    /// When it was sent.
+    /// Time at which the order was sent.
     pub at: crate::core::time::Moment,
 }
--- a/src/core/plane/lead/mod.rs
+++ b/src/core/plane/lead/mod.rs
@@ -1,7 +1,7 @@
-//! The leader of a task plane: takes questions, orders runs and follows workers.
+//! Leader of the task plane: handles queries, assigns runs and monitors workers.
 //!
-//! A leader exists for one term. It plans on the committed state plus what it has
-//! proposed itself, and sends an order only after the start is committed.
+//! A leader serves for one term. It plans on the committed state together with its own
+//! uncommitted proposals, and sends a start order only after the start is committed.
 
 mod ask;
 mod channel;
@@ -33,73 +33,73 @@
 use crate::core::registry::InstanceId;
 use crate::core::time::{Moment, with_clock_margin};
 
-/// What an installation allows.
+/// Limits that an installation sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Longest lease of a run.
+    /// Maximum lease of a run.
     pub hold: Duration,
-    /// Longest time that a stop takes.
+    /// Maximum time that stopping a run takes.
     pub stop: Duration,
-    /// How much slower a task is away from its data or spread over racks.
+    /// Factor by which a task is slower away from its data or spread over several racks.
     pub far: f64,
 }
 
-/// The present time on the clocks that decisions use.
+/// Current time on the clocks that decisions use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    /// Monotonic time, which goes on while the process is suspended.
+    /// Monotonic time, which advances while the process is suspended.
     pub at: Moment,
-    /// Milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-/// Shortest time between two rounds of planning. Starts and ends of one round share
-/// one log entry, and a round costs some 100 us of processor time.
+/// Minimum interval between planning rounds. Starts and ends of a round share one log
+/// entry, and a round costs about 100 us of processor time.
 const PLAN_EVERY: Duration = Duration::from_millis(4);
-/// Pause for each worker or step that a round looked at: some four times what that
-/// takes on a slow instance, so that planning never takes more than a fifth of it.
+/// Pause per worker or step examined in a round: about four times what that takes on a
+/// slow instance, so that planning takes at most a fifth of the processor time.
 const PLAN_WORK: Duration = Duration::from_nanos(400);
-/// Time within which planning takes place at the latest, for what time alone changes.
+/// Maximum interval between planning rounds, for changes that only depend on time.
 const PLAN_IDLE: Duration = Duration::from_millis(100);
-/// Weight of the latest run in the ratio of run times to estimates.
+/// Weight of the latest run in the moving average of run times relative to estimates.
 const ESTIMATE_WEIGHT: f64 = 0.1;
 
-/// The leader of one term.
+/// Leader of the task plane for one term.
 #[derive(Debug)]
 pub struct Lead {
     fence: u64,
     since: Moment,
     bounds: Bounds,
     channels: BTreeMap<WorkerKey, Channel>,
-    /// Where the runs of each task are.
+    /// Runs with the worker that may have them, ordered by task.
     places: BTreeSet<(TaskName, WorkerKey)>,
     racks: HashMap<String, u32>,
     runs_checked_at: Moment,
     permits: Permits,
     sent: HashMap<u64, io::Sent>,
     next_number: u64,
-    /// Tasks whose start is proposed and not committed.
+    /// Tasks whose start is proposed and not yet committed.
     placing: HashMap<TaskName, WorkerKey>,
     placing_steps: HashMap<StepName, u16>,
     placing_use: HashMap<u32, Amount>,
     reservations: HashMap<TaskName, (Amount, Amount, Option<u32>)>,
     cancelling: HashSet<JobId>,
     submitting: HashMap<JobId, Vec<Call>>,
-    /// Ends to propose with the next round.
+    /// Ends of runs to propose in the next round.
     ends: Vec<End>,
-    /// Run time relative to the estimate, by queue name.
+    /// Moving average of run times relative to estimates, by queue name.
     ratios: HashMap<String, f64>,
     urgent_use: f64,
     dirty: bool,
     planned_at: Moment,
-    /// Time between two rounds, by the work of the latest.
+    /// Interval until the next planning round, from the work of the latest one.
     plan_pause: Duration,
     effects: Vec<Effect>,
 }
 
 impl Lead {
-    /// Begins a term. Orders of earlier leaders may be under way until their leases
-    /// have run out.
+    /// Starts a term. Orders of earlier leaders may still be carried out until their
+    /// leases have expired.
     pub fn new(now: Now, fence: u64, bounds: Bounds, state: &State) -> Self {
         let mut lead = Self {
             fence,
@@ -147,7 +147,8 @@
         lead
     }
 
-    /// Returns when everything that was ordered before now has surely lapsed.
+    /// Returns the time by which every run ordered until now has ended if its lease was
+    /// not renewed.
     fn lapse_by(&self, now: Moment) -> Moment {
         now + with_clock_margin(with_clock_margin(self.bounds.hold)) + self.bounds.stop
     }
@@ -158,22 +159,22 @@
         *self.racks.entry(name.to_owned()).or_insert(next)
     }
 
-    /// Returns when the term began.
+    /// Returns the start of the term.
     pub const fn since(&self) -> Moment {
         self.since
     }
 
-    /// Returns the workers' channels.
+    /// Returns the leader's view of each worker.
     pub const fn channels(&self) -> &BTreeMap<WorkerKey, Channel> {
         &self.channels
     }
 
-    /// Replaces the instances that can ask for permits.
+    /// Sets the instances that can send permission requests.
     pub fn set_askers(&mut self, askers: &[InstanceId]) {
         self.permits.set_askers(askers);
     }
 
-    /// Lets time pass: looks, stops, lapses and planning that are due.
+    /// Performs everything that is due: inspections, stops, expiries and planning.
     pub fn tick(&mut self, now: Now, state: &State) -> Vec<Effect> {
         for finished in self.permits.expire(now.at) {
             self.note_permission(finished);
@@ -184,21 +185,21 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes a question.
+    /// Handles a query.
     pub fn ask(&mut self, now: Now, state: &State, call: Call, query: Query) -> Vec<Effect> {
         self.take_query(now, state, call, query);
         self.maybe_plan(now, state);
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes what came back for an order.
+    /// Handles the reply to an order.
     pub fn reply(&mut self, now: Now, state: &State, number: u64, reply: Reply) -> Vec<Effect> {
         self.take_reply(now, state, number, reply);
         self.maybe_plan(now, state);
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes an answer of the permission service.
+    /// Handles an answer of the permission service.
     pub fn permission(
         &mut self,
         now: Now,
@@ -222,7 +223,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes a command of this term that has been committed and applied.
+    /// Handles a command of this term that was committed and applied to the state.
     pub fn applied(&mut self, now: Now, state: &State, command: &Command) -> Vec<Effect> {
         self.dirty = true;
         match command {
@@ -231,7 +232,9 @@
                 self.note(Note::Configured { version });
             }
             Command::Register(report) => self.registered(now, state, &report.id),
-            Command::Depart(worker) => self.departed(now, state, *worker, "another incarnation"),
+            Command::Depart(worker) => {
+                self.departed(now, state, *worker, "replacement by another incarnation")
+            }
             Command::Submit { submission, .. } => {
                 self.submitting.remove(&submission.id);
             }
@@ -289,7 +292,8 @@
                     job: job_id,
                     took_ms,
                 }),
-                // Noted when the caller gave it up, or not ended.
+                // Cancellation is logged when the request is handled; the other two are
+                // not final.
                 Standing::Cancelled | Standing::Queued | Standing::Running => {}
             }
         }
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Returns when the next call of [`Lead::tick`] is worth it, at the latest.
+    /// Returns the time by which [`Lead::tick`] should be called next.
     pub fn wake_at(&self) -> Moment {
         if self.dirty {
             self.planned_at + self.plan_pause
--- a/src/core/plane/lead/replies.rs
+++ b/src/core/plane/lead/replies.rs
@@ -1,4 +1,4 @@
-//! What workers answer, and what the leader concludes from it.
+//! Processing of workers' replies.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::core::plane::types::{How, TaskName, WorkerKey};
 use crate::core::time::Moment;
 
-/// Ends that one list holds at most.
+/// Maximum number of ends in one list; a list of this length may be incomplete.
 const ENDS_MAX: usize = 500;
-/// Time to the next look at a worker that needs none: longer than any term lasts
-/// without a reason to look.
+/// Delay of the next inspection of a worker that needs none: longer than any term lasts
+/// without another reason for one.
 const NEVER: Duration = Duration::from_secs(3_600);
 
 impl Lead {
@@ -80,7 +80,7 @@
             }
             Reply::Declined(why) => {
                 self.declined(now, state, key, task, *why);
-                self.void(state, key, task, run, "declined by its worker");
+                self.void(state, key, task, run, "start declined");
             }
             Reply::NotSent => {
                 self.void(state, key, task, run, "not sent");
@@ -98,7 +98,8 @@
         }
     }
 
-    // A worker that could not be reached gets nothing before it answers a look.
+    // Schedules an inspection. An unreachable worker gets no new runs before it answers
+    // one.
     fn look_soon(&mut self, now: Now, key: WorkerKey) {
         let channel = self.channels.get_mut(&key).expect("known worker");
         channel.look_at = channel.look_at.min(now.at + LOOK_RETRY);
@@ -115,7 +116,7 @@
                 }
             }
             Declined::Room | Declined::Late | Declined::Fence | Declined::Old => {
-                // What runs there or its clock is not what it was thought to be.
+                // The worker's runs or its clock differ from the leader's view of them.
                 channel.avoid_until = channel.avoid_until.max(now.at + LOOK_RETRY);
                 channel.look_at = channel.look_at.min(now.at);
             }
@@ -160,8 +161,8 @@
         };
         let born_ms = state.worker(key).report.born_ms;
         if lists.born_ms.is_some_and(|born| born != born_ms) {
-            // A later incarnation has the id now, and what was ordered may have reached
-            // it. Its report tells more.
+            // A later incarnation uses the id now, and may have received orders for this
+            // one. Its report will show this.
             self.set_aside(now, key);
             return;
         }
@@ -186,12 +187,12 @@
         let channel = self.channels.get_mut(&key).expect("known worker");
         let is_storing = channel.is_storing();
         channel.look_at = if is_storing {
-            // Brought forward once the ends are stored.
+            // Rescheduled earlier once the ends are committed.
             now.at + ANSWER_TIMEOUT
         } else if !channel.live().is_empty() {
             now.at
         } else if channel.strays > 0 {
-            // Their stops are ordered.
+            // Stop orders for the unexpected runs are under way.
             now.at + self.bounds.stop
         } else if channel.seen > channel.told_seen {
             now.at + TELL_SEEN_AFTER
@@ -224,11 +225,12 @@
         self.advance_seen(now, key);
     }
 
-    // Takes a run that the worker lists. False if it should not be there.
+    // Processes a run that the worker lists. Returns false if the run should not be
+    // there.
     fn take_running(&mut self, now: Now, state: &State, key: WorkerKey, row: &RunningRow) -> bool {
         let channel = self.channels.get_mut(&key).expect("known worker");
         let Some(live) = channel.run_mut(row.task, row.run) else {
-            self.stop(now, state, key, row.task, row.run, "not known here");
+            self.stop(now, state, key, row.task, row.run, "unknown to the leader");
             return false;
         };
         live.listed = true;
@@ -251,7 +253,7 @@
             run: row.run,
             worker: state.worker(key).report.id.clone(),
             how: row.how,
-            by: "its worker's list",
+            by: "worker's list",
         });
         self.ends.push(End {
             task: row.task,
@@ -294,7 +296,8 @@
                     channel.succeed(now.at, 1.0);
                 }
             }
-            // A task that failed before is at fault itself, as far as anyone knows.
+            // Only the first failure of a task counts against its worker. Repeated
+            // failures are assumed to be the task's fault.
             How::Failed if task.failed == 0 => {
                 if let Some(wait) = channel.fail(now.at, 1.0) {
                     let failures = channel.failures(now.at);
@@ -319,7 +322,7 @@
         });
     }
 
-    // Runs that the worker neither has nor lists as ended.
+    // Processes runs that the worker lists neither as current nor as ended.
     fn take_absent(
         &mut self,
         now: Now,
@@ -345,7 +348,8 @@
             if live.ending || is_listed {
                 continue;
             }
-            // The first look of a term fences off whatever was ordered before it.
+            // The fencing token of a term's first inspection invalidates all orders sent
+            // before it.
             let fenced = first && live.from.is_none();
             if fenced || before(live.confirmed_at) || before(live.stopped_at) {
                 voids.push((task, live.run));
@@ -354,10 +358,10 @@
             }
         }
         for (task, run) in voids {
-            self.void(state, key, task, run, "its absence from its worker's list");
+            self.void(state, key, task, run, "absence from the worker's list");
         }
         for (task, run) in stops {
-            self.stop(now, state, key, task, run, "no answer to its start");
+            self.stop(now, state, key, task, run, "start order unanswered");
         }
     }
 }
--- a/src/core/plane/lead/requests.rs
+++ b/src/core/plane/lead/requests.rs
@@ -1,4 +1,4 @@
-//! Questions of callers, workers and operators.
+//! Queries from callers, workers and operators.
 
 use super::io::{Action, Answer, Call, Effect, Note, Query, Refusal, Request};
 use super::{Lead, Now};
@@ -8,14 +8,13 @@
 use crate::core::plane::types::{JobId, WorkerKey};
 use crate::core::plane::worker::Report;
 
-/// When a caller may come back that came before the first configuration, in
-/// milliseconds. The operator sends it again within about a second.
+/// Time after which a caller should retry while there is no configuration. The operator
+/// sends it again within about a second.
 const NO_CONFIGURATION_RETRY_MS: u64 = 1_000;
-/// Open jobs above which new ones are refused, so that the state stays within a
-/// quarter of a control instance's memory at some 2 KB a job.
+/// Maximum number of open jobs; further ones are refused. At about 2 KB a job, the state
+/// stays within a quarter of a control instance's memory.
 const OPEN_JOBS_MAX: usize = 30_000;
-/// When a caller may come back that was refused because of too many open jobs, in
-/// milliseconds.
+/// Time after which a caller should retry while there are too many open jobs.
 const OVERLOAD_RETRY_MS: u64 = 2_000;
 
 impl Lead {
@@ -71,7 +70,7 @@
         if tail.is_empty() {
             let answer = match request.action {
                 Action::Show => Answer::Pending(pending(state, queue)),
-                _ => Answer::Malformed("a job id is missing".to_owned()),
+                _ => Answer::Malformed("the path contains no job id".to_owned()),
             };
             self.answer(call, answer);
             return;
@@ -162,7 +161,7 @@
 
     fn take_report(&mut self, now: Now, state: &State, call: Call, report: Report) {
         if !report.capacity.is_in_range() {
-            let why = format!("the capacity {:?} cannot be", report.capacity);
+            let why = format!("capacity {:?} is out of range", report.capacity);
             self.note_refusal(state, format!("report of {}", report.id), why.clone());
             self.answer(call, Answer::Malformed(why));
             return;
@@ -200,7 +199,7 @@
             channel.departing.get_or_insert(now.at);
             self.note(Note::WorkerGone {
                 worker: id.to_owned(),
-                by: "its own word",
+                by: "its announcement",
             });
         }
         self.answer(call, Answer::Done);
@@ -224,7 +223,7 @@
         self.note(Note::Refused { path, why, version });
     }
 
-    /// Returns the ids of workers by key, for a question to the permission service.
+    /// Returns each worker with its id, for a permission request.
     pub(super) fn worker_ids(state: &State, keys: &[WorkerKey]) -> Vec<(WorkerKey, String)> {
         keys.iter()
             .map(|&key| (key, state.worker(key).report.id.clone()))
--- a/src/core/plane/lead/workers.rs
+++ b/src/core/plane/lead/workers.rs
@@ -1,4 +1,4 @@
-//! Orders to workers and what they answer.
+//! Orders to workers: starts, stops and inspections.
 
 use std::time::Duration;
 
@@ -9,31 +9,34 @@
 use crate::core::plane::state::{Command, End, Start, State};
 use crate::core::plane::types::{How, JobId, StepName, TaskName, WorkerKey};
 
-/// Longest time that a look waits for an end. Each look lengthens the lease, so
-/// that a worker that is cut off keeps its runs for the lease less this.
+/// Maximum time that a worker delays its reply to an inspection until a run ends. Each
+/// inspection renews the lease, so a worker that is cut off keeps its runs for the lease
+/// less this time.
 const LOOK_WAIT: Duration = Duration::from_millis(800);
-/// Time for an answer on top of what the worker may wait: a hundred round trips.
+/// Time to wait for a reply beyond the requested delay: a hundred round trips.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause before a worker that did not answer is looked at again.
+/// Delay before a worker that did not reply is inspected again.
 pub(super) const LOOK_RETRY: Duration = Duration::from_millis(250);
-/// Delay of the first look after a start, so that starts in a row share it.
+/// Delay of the first inspection after a start, so that consecutive starts share it.
 const LOOK_AFTER_START: Duration = Duration::from_millis(60);
-/// Delay of a look that only tells which ends are stored.
+/// Delay of an inspection that only acknowledges committed ends.
 pub(super) const TELL_SEEN_AFTER: Duration = Duration::from_millis(40);
-/// A stop without an answer is repeated after this.
+/// Interval at which an unanswered stop is repeated.
 const STOP_RETRY: Duration = Duration::from_millis(400);
-/// A worker that said that it ends is gone after this.
+/// Time after which a worker that announced its shutdown counts as gone.
 const DEPART_AFTER: Duration = Duration::from_millis(400);
-/// A run without progress for this long is started elsewhere: three looks.
-/// Workers tell progress in whole percents, so that longer runs get longer.
+/// A run without progress for this long is stopped and started elsewhere: three
+/// inspections. Workers report whole percentages, so longer runs get more time.
 const STUCK_MIN: Duration = Duration::from_millis(2_500);
-/// Members of a gang make no progress before all are there, at most for this long.
+/// Maximum time without progress for a gang member at 0 %: members make no progress
+/// before all of them have started.
 const STUCK_GANG: Duration = Duration::from_millis(4_500);
-/// Part of the expected run time that a run may be without progress.
+/// Fraction of the estimated run time for which a run may be without progress.
 const STUCK_SHARE: f64 = 0.1;
-/// A worker whose tasks make no progress is left alone at once.
+/// Weight of a stuck run in the failure score: high enough to exclude the worker from
+/// placement at once.
 const STUCK_WEIGHT: f64 = 2.0;
-/// Interval at which runs are checked for stops without an answer and for progress.
+/// Interval at which runs are checked for unanswered stops and for progress.
 const CHECK_RUNS_EVERY: Duration = Duration::from_millis(100);
 
 impl Lead {
@@ -60,9 +63,9 @@
             }
             let unheard = !channel.adopted || channel.unanswered_since.is_some();
             if unheard && !channel.live().is_empty() && channel.has_lapsed(now.at) {
-                self.void_all(key, state, "a lapsed lease");
+                self.void_all(key, state, "lease expiry");
             }
-            let channel = self.channels.get_mut(&key).expect("still there");
+            let channel = self.channels.get_mut(&key).expect("not removed above");
             let is_due = now.at >= channel.look_at
                 || channel.unanswered_since.is_none() && channel.needs_look(now.at);
             if channel.look.is_none() && is_due && !worker.gone {
@@ -86,7 +89,7 @@
             let unanswered = live.stopped_at.is_none()
                 && live.stop_at.is_some_and(|at| now.at.since(at) > STOP_RETRY);
             if unanswered {
-                stops.push((task, live.run, "no answer to its stop"));
+                stops.push((task, live.run, "stop order unanswered"));
             } else if live.stop_at.is_some() {
                 continue;
             } else if is_stuck(now, state, task, live) {
@@ -132,8 +135,8 @@
     fn look(&mut self, now: Now, state: &State, key: WorkerKey) {
         let hold = self.bounds.hold;
         let channel = self.channels.get_mut(&key).expect("known worker");
-        // A worker that does not answer may hear all the same. Its lease is not
-        // lengthened, so that its runs lapse and can start elsewhere.
+        // An unresponsive worker may still receive orders. Its lease is not renewed, so
+        // that its runs expire and can start elsewhere.
         let until = if channel.is_silent(now.at) || channel.live().is_empty() {
             None
         } else {
@@ -145,8 +148,9 @@
         } else {
             Duration::ZERO
         };
-        // A later incarnation that has the id numbers its ends anew, and would forget
-        // those that were never read.
+        // An acknowledgement that the worker has replied to is not repeated: a later
+        // incarnation under the same id numbers its ends from the start, and would drop
+        // ends that were never read.
         let seen = if channel.seen > channel.told_seen {
             channel.seen
         } else {
@@ -251,8 +255,8 @@
         self.order(now, state, key, sent, Work::Stop { task, run });
     }
 
-    /// Stops runs of a job that are no longer wanted, as it was given up or failed or
-    /// its gang broke.
+    /// Stops the runs of a job that should not go on because the job was cancelled or
+    /// failed, or their gang is being stopped.
     pub(super) fn stop_unwanted(&mut self, now: Now, state: &State, job: JobId) {
         let first = TaskName {
             step: StepName {
@@ -279,7 +283,7 @@
         }
     }
 
-    /// Ends a run that is surely not on its worker.
+    /// Ends a run that is certainly not on its worker.
     pub(super) fn void(
         &mut self,
         state: &State,
@@ -332,7 +336,7 @@
         }
     }
 
-    /// Forgets a run whose end is committed. Returns the worker that had it.
+    /// Removes a run whose end is committed. Returns the worker that had it.
     pub(super) fn ended(&mut self, state: &State, end: &End) -> WorkerKey {
         let records = &state.worker(end.worker).runs;
         if records.get(&end.task).is_some_and(|r| r.run == end.run) {
@@ -358,9 +362,10 @@
         end.worker
     }
 
-    // Ends the runs of an earlier incarnation that a later one has replaced. Where both
-    // have the same id, the start of a run that no list has shown may have reached the
-    // later one. Such a run is stopped there before it counts as ended.
+    // Ends the runs of an incarnation that a later one has replaced. If both have the
+    // same id, a start order may have reached the later one, unless the earlier one has
+    // listed the run. Such a run is stopped on the later incarnation before it counts as
+    // ended.
     fn replace(&mut self, now: Now, state: &State, old: WorkerKey, new: WorkerKey) {
         let same_id = state.worker(old).report.id == state.worker(new).report.id;
         let runs: Vec<(TaskName, Live)> = self.channels[&old]
@@ -387,13 +392,13 @@
             };
             channel.insert(task, inherited);
             self.places.insert((task, new));
-            let why = "its start may have reached a later incarnation";
+            let why = "start order may have reached a later incarnation";
             self.stop(now, state, new, task, live.run, why);
         }
-        self.void_all(old, state, "a later incarnation");
+        self.void_all(old, state, "replacement by a later incarnation");
     }
 
-    /// Lets a worker know which of its ends are stored.
+    /// Schedules the acknowledgement of a worker's committed ends.
     pub(super) fn advance_seen(&mut self, now: Now, key: WorkerKey) {
         let Some(channel) = self.channels.get_mut(&key) else {
             return;
@@ -448,7 +453,8 @@
     }
 }
 
-// A worker that is silent tells nothing of its runs, so that its silence does not count.
+// Returns whether a run makes no progress. Time for which its worker sends no lists does
+// not count.
 fn is_stuck(now: Now, state: &State, task: TaskName, live: &Live) -> bool {
     let Some(progress) = live.progress else {
         return false;
@@ -469,7 +475,7 @@
     progress.standstill(now.at, LOOK_WAIT) > least.max(share)
 }
 
-/// Returns what a task's run is to placing.
+/// Returns how a run affects the placement of other tasks on its worker.
 pub(super) fn nature(state: &State, task: TaskName, cpu: i64) -> Nature {
     let Some(job) = state.jobs.get(&task.step.job) else {
         return Nature::default();
@@ -485,7 +491,7 @@
     }
 }
 
-// Members of a gang that is done end on their own.
+// Returns whether a run ends without a stop order, as the members of a completed gang do.
 fn ends_by_itself(state: &State, task: TaskName) -> bool {
     state.jobs.get(&task.step.job).is_none_or(|job| {
         job.standing == Standing::Completed
--- a/src/core/plane/plan.rs
+++ b/src/core/plane/plan.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Permission {
-    /// Fixed time that the permission service takes per question, in milliseconds.
+    /// Fixed time that the permission service takes per request, in milliseconds.
     pub decide_ms: f64,
-    /// Additional time per worker named in the question, in milliseconds.
+    /// Additional time per worker named in the request, in milliseconds.
     pub each_ms: f64,
     /// Time for which a permit is valid, in milliseconds.
     pub valid_ms: u64,
