--- a/tests/absurd.rs
+++ b/tests/absurd.rs
@@ -1,4 +1,5 @@
-//! Well-formed messages with absurd figures: neither a panic nor harm to others.
+//! Well-formed messages with extreme values must neither cause a panic nor affect other
+//! jobs.
 
 #[path = "support/plane.rs"]
 mod support;
@@ -16,7 +17,7 @@
     cell
 }
 
-// Other work goes on as if nothing had come.
+// Checks that other jobs still complete.
 fn assert_serves(cell: &mut Cell) {
     for id in 1..=8 {
         cell.submit("batch", id, vec![tasks(4, 2, 200)], 200);
--- a/tests/plane.rs
+++ b/tests/plane.rs
@@ -1,4 +1,4 @@
-//! The leader of a task plane under seeded troubles and under load.
+//! Schedules with seeded faults, and load tests, for the leader of the task plane.
 //!
 //! A longer run: `SCHEDULES=20000 cargo test --release --test plane`.
 
@@ -39,7 +39,7 @@
     }
 }
 
-// Names the seed of a schedule that breaks a check.
+// Prints the seed of a schedule that fails.
 struct Seed(u64);
 
 impl Drop for Seed {
@@ -50,7 +50,7 @@
     }
 }
 
-// One schedule: jobs of all kinds while workers and leaders fail.
+// Runs one schedule: jobs of all kinds while workers and leaders fail.
 fn schedule(seed: u64) {
     let _seed = Seed(seed);
     let mut cell = cell(seed, 6);
@@ -106,8 +106,8 @@
         }
     }
     cell.trouble = Trouble::default();
-    // Crashes may leave only workers that a step has no permission for. Each step has it
-    // for four of these, two of each label.
+    // Crashes may leave only workers without permission for some step. Of these six
+    // workers, each step has permission for four, two of either label.
     for at in 0..6 {
         cell.add_worker(&format!("y{at}"), at);
     }
@@ -118,7 +118,7 @@
         }
     }
     panic!(
-        "seed {seed}: {:?} never ended, {} runs are left",
+        "seed {seed}: jobs {:?} did not end, {} runs are left",
         cell.unfinished(),
         cell.running()
     );
@@ -178,13 +178,17 @@
     cell.run_for(4_000);
     assert!(
         cell.unfinished().is_empty(),
-        "no job is given up for a worker's fault"
+        "a job failed because of a faulty worker"
     );
     let starts = cell.workers[2].starts;
-    assert!(starts <= 12, "{starts} starts on a worker that fails all");
+    assert!(
+        starts <= 12,
+        "{starts} starts on a worker that fails all runs"
+    );
 }
 
-// Load: gangs on the slow queue that do not fit beside urgent jobs.
+// Gangs on a queue with slow permits, which do not fit, must not delay urgent jobs that
+// need quick permits.
 #[test]
 fn quick_permits_do_not_wait_behind_slow_ones() {
     let mut cell = cell(4, 12);
@@ -216,10 +220,11 @@
         .collect();
     took.sort_unstable();
     let p95 = took[took.len() * 95 / 100];
-    // A calm day needs two commits, a question of 13 ms and the ways.
+    // Without contention a start takes two commits, a permission request of 13 ms and the
+    // network delays.
     assert!(
         p95 <= 120,
-        "urgent jobs wait {p95} ms for their first start"
+        "urgent jobs wait {p95} ms (95th percentile) for their first start"
     );
 }
 
@@ -237,7 +242,10 @@
     let before = cell.questions;
     cell.run_for(10_000);
     let more = cell.questions - before;
-    assert!(more <= 40, "{more} questions for gangs that do not fit");
+    assert!(
+        more <= 40,
+        "{more} permission requests for gangs that do not fit"
+    );
 }
 
 #[test]
@@ -252,8 +260,8 @@
     assert!(cell.unfinished().is_empty());
 }
 
-// Load: gangs that need most of the permitted workers at once, beside a stream of
-// small jobs that would take any room that shows.
+// Gangs that need most of the permitted workers at once must not starve behind a stream
+// of small jobs that take any free capacity.
 #[test]
 fn a_wide_gang_starts_beside_small_jobs() {
     let mut cell = cell(7, 24);
@@ -282,7 +290,7 @@
     }
 }
 
-// A worker that cannot be reached must not be tried again for every task.
+// An unreachable worker must not be tried again for every task.
 #[test]
 fn an_unreachable_worker_breaks_few_gangs() {
     let mut cell = cell(8, 12);
@@ -303,7 +311,8 @@
     assert!(starts <= 30 * 8 * 13 / 10, "{starts} starts for 240 tasks");
 }
 
-// Load: gangs of eight over twelve workers, two of which fail part of what they run.
+// At most one in forty gangs of eight tasks may fail on twelve workers of which two fail
+// half of their runs.
 #[test]
 fn gangs_finish_beside_workers_that_fail_a_part() {
     let mut cell = cell(9, 12);
@@ -319,22 +328,24 @@
     }
     cell.run_for(5_000);
     let given_up = cell.unfinished().len();
-    assert!(given_up <= 1, "{given_up} of 40 gangs were given up");
+    assert!(given_up <= 1, "{given_up} of 40 gangs did not complete");
 }
 
-// Load: gangs of six that fill two workers, on a fleet of 48 that later work fills, with
-// permits that take half a second.
+// Gangs of six tasks, which fill two workers, must start in time on 48 workers that later
+// jobs keep filling, with permits that take half a second.
 #[test]
 fn gangs_find_room_on_a_full_fleet() {
     const GANGS: u64 = 16;
     const RUN_MS: u64 = 1_500;
-    // The goal is 1.5 runs and 250 ms, and a gang has worth up to three times that.
+    // The response-time goal is 1.5 run times plus 250 ms; a gang still has value up to
+    // three times that.
     const WAIT_MAX: u64 = 3 * (RUN_MS * 3 / 2 + 250) - RUN_MS;
     let mut cell = cell(11, 48);
     let mut sent = Vec::new();
     let mut next = 1_000;
     for at in 0..GANGS * 100 {
-        // Nine tenths of the fleet: 8 cores for 1.2 s on average, 136 a second.
+        // Nine tenths of the fleet: tasks of 8 cores and 1.2 s on average, 136 per
+        // second.
         for _ in 0..2 {
             let ms = 400 + cell.draw(1_600);
             cell.submit("batch", next, vec![tasks(1, 8, ms)], ms);
@@ -364,13 +375,14 @@
     }
 }
 
-// Load: a fleet that is four fifths full, and gangs that one worker of three may run. A
-// place is free for them at once, but among the workers of one question it seldom is.
+// Gangs that only one worker in three may run must start in time on a fleet that is 80 %
+// full. They have enough free capacity at any time, but seldom among the workers of a single
+// permission request.
 #[test]
 fn gangs_start_in_time_where_few_workers_are_permitted() {
     const GANGS: u64 = 60;
     const RUN_MS: u64 = 3_000;
-    // The goal is 1.5 runs and 250 ms.
+    // The response-time goal is 1.5 run times plus 250 ms.
     const WAIT_MAX: u64 = RUN_MS / 2 + 250;
     let mut cell = cell(14, 120);
     cell.is_strict = true;
@@ -379,7 +391,8 @@
     cell.run_for(1_000);
     let mut sent = Vec::new();
     for at in 0..GANGS * 11 {
-        // 8 cores for 1.2 s on average, 140 a second, and the gangs: 80 % of the fleet.
+        // Tasks of 8 cores and 1.2 s on average, 140 per second, and the gangs: 80 % of
+        // the fleet.
         let ms = 400 + cell.draw(1_600);
         cell.submit("batch", 1_000 + at, vec![tasks(4, 8, ms)], ms);
         if at.is_multiple_of(11) {
@@ -410,9 +423,9 @@
     assert!(in_time * 10 >= GANGS * 9, "waits of gangs: {waits:?} ms");
 }
 
-// Load: gangs whose tasks take almost half of a worker, on a fleet of which a half is full
-// but for a few cores a worker, after urgent work that may come again. The urgent work has
-// its room in what is left over, so that the gang has both places of each empty worker.
+// Capacity that is kept free after urgent jobs must not displace a gang whose tasks take
+// almost half a worker. Half of the fleet is full but for a few cores per worker, which
+// are enough for urgent jobs, so the gang can have two tasks on each empty worker.
 #[test]
 fn room_for_urgent_work_leaves_places_for_large_tasks() {
     const WORKERS: u16 = 12;
@@ -437,7 +450,7 @@
         cell.completed.contains_key(&JobId(2)),
         "the gang has not run"
     );
-    // The room is there when the work comes again, within its goal.
+    // Further urgent jobs must find capacity and meet their response-time goal.
     let sent = cell.now;
     for id in 200..210 {
         cell.submit("urgent", id, vec![tasks(1, 4, 700)], 700);
@@ -452,12 +465,12 @@
     }
 }
 
-// Load: many gangs wait for permits while no instance can ask. What needs none must not
-// wait for the leader to work out their questions again and again.
+// Many gangs wait for permits while no instance can request any. The leader must not work
+// out their requests over and over, which would delay jobs that need no permit.
 #[test]
 fn gangs_that_nobody_asks_for_hold_up_no_others() {
     const GANGS: u64 = 200;
-    // The fixed part of the shortest goal.
+    // Fixed part of the shortest response-time goal.
     const WAIT_MAX: u64 = 250;
     let mut cell = cell(15, 350);
     cell.askers = 0;
@@ -507,7 +520,7 @@
     took
 }
 
-// Whoever looks for a job's id in the log finds how it ended.
+// The event log must hold the outcome of every job under its id.
 #[test]
 fn every_end_of_a_job_has_a_line() {
     let mut cell = cell(16, 6);
@@ -535,12 +548,12 @@
     let worst = took[took.len() - 1];
     assert!(
         worst <= 5_500,
-        "the slowest job took {worst} ms for 1000 ms of work"
+        "the slowest job took {worst} ms with tasks of 1000 ms"
     );
 }
 
-// Load: gangs of nine-core tasks that need three to a worker, after a burst of urgent
-// jobs. Room kept for urgent work must leave them their place.
+// Capacity that is kept free after a burst of urgent jobs must leave room for three
+// nine-core gang tasks per worker.
 #[test]
 fn three_gang_members_fit_on_a_worker_after_an_urgent_burst() {
     let mut cell = cell(12, 12);
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Workers that are silent or slow to report for a while keep their runs.
+//! Workers that are unreachable or do not reply for less than their lease keep their
+//! runs.
 
 #[path = "support/plane.rs"]
 mod support;
@@ -7,9 +8,8 @@
 use plantaincross::core::plane::types::{Amount, JobId};
 use support::{Cell, queue, tasks};
 
-/// Workers of the fleet.
+/// Number of workers in the fleet.
 const WORKERS: usize = 4;
-/// Time that a run takes.
 const RUN_MS: u64 = 9_000;
 
 fn busy(seed: u64, step: StepSpec) -> Cell {
@@ -25,7 +25,7 @@
     cell.workers.iter().map(|w| w.starts).sum()
 }
 
-// Lets the job end, and checks that each task ran once.
+// Waits for the job to end, and checks that each task ran exactly once.
 fn assert_ran_once(mut cell: Cell, count: u64) {
     cell.run_for(RUN_MS + 3_000);
     assert_eq!(cell.stops, 0, "runs were stopped");
@@ -53,7 +53,8 @@
     }
 }
 
-// A lease of 6 s outlives each of them; two to three of a second's looks are missing.
+// The lease of 6 s outlasts each of these interruptions, in which two to three inspections,
+// one per second, are missed.
 silences! {
     cut_off_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
         cell.workers[0].cut_until = cell.now + 4_000;
--- a/tests/support/plane.rs
+++ b/tests/support/plane.rs
@@ -1,5 +1,6 @@
-//! A leader of a task plane with fake workers, a fake permission service and a log
-//! that commits after a while. Time is simulated; each schedule has a seed.
+//! Simulation of a leader of the task plane with fake workers, a fake permission service
+//! and a log that commits after a delay. Time is simulated, and each schedule is drawn
+//! from a seed.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,17 +20,18 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Milliseconds from proposing to committing.
+/// Time from proposing a command to its commit.
 const COMMIT_MS: u64 = 12;
-/// Milliseconds one way.
+/// One-way network delay.
 const WAY_MS: u64 = 2;
-/// Clock reading at the start.
+/// Clock reading at the start of the simulation.
 const START_MS: u64 = 5_000_000;
-/// Instances that can ask the permission service at first.
+/// Initial number of instances that can query the permission service.
 const ASKERS: u64 = 13;
-/// How early an occurrence may start: the users' platform says as much.
+/// Maximum time by which an occurrence may start before it is due, as promised to users.
 const EARLY_MAX_MS: u64 = 250;
-/// Time after its confirmed report in which a draining worker may get runs: the same.
+/// Time after the confirmation of its draining report in which a worker may still get
+/// runs, as promised to users.
 const DRAIN_MS: u64 = 2_000;
 pub const BOUNDS: Bounds = Bounds {
     hold: Duration::from_millis(6_000),
@@ -46,40 +48,40 @@
     room: Amount,
 }
 
-/// A worker that keeps the rules of the interface.
+/// Worker that follows the protocol, apart from injected faults.
 #[derive(Clone, Debug)]
 pub struct FakeWorker {
     pub report: Report,
     pub up: bool,
-    /// Nothing passes in either direction until then.
+    /// Messages in both directions are lost until this time.
     pub cut_until: u64,
-    /// Answers are lost until then.
+    /// Replies are lost until this time.
     pub mute_until: u64,
     pub fails_all: bool,
-    /// Part of runs that fail, in hundredths.
+    /// Percentage of runs that fail.
     pub fails_some: u64,
-    /// Runs stand still.
+    /// Whether runs make no progress.
     pub hangs: bool,
-    /// The report that it drains, and when that was confirmed.
+    /// Call that reported draining.
     drain_call: Option<u64>,
     drained_at: Option<u64>,
     fence: u64,
     deadline: u64,
     born_at: u64,
     runs: BTreeMap<TaskName, Running>,
-    /// Nothing ends by itself before this.
+    /// Time before which no run ends by itself.
     quiet_until: u64,
     barred: BTreeMap<TaskName, u32>,
     ended: Vec<EndRow>,
     next_end: u64,
-    /// The lease lapsed after the end of this number and those before it.
+    /// Number of the latest end at the time of the last lease expiry.
     lapsed_to: u64,
     pub starts: u64,
 }
 
 impl FakeWorker {
     fn clock(&self, now: u64) -> u64 {
-        // Two percent slow.
+        // Runs 2 % slow.
         (now - self.born_at) * 98 / 100 + 1_000
     }
 
@@ -106,10 +108,10 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// An order that reaches a worker; one that was held up on its connection, only the
-    /// incarnation that had the connection.
+    /// An order reaches a worker. With the third field set, the order was delayed on its
+    /// connection and reaches only the incarnation that had the connection.
     Arrive(Box<Order>, u64, Option<u64>),
-    /// The end of a look's wait at a worker, in the incarnation that took it.
+    /// The wait of an inspection ends at the worker incarnation that received it.
     Look(Box<Order>, u64, u64),
     Answer(u64, Reply),
     Timeout(u64),
@@ -117,12 +119,12 @@
     Permit(u64, u64, Permission),
 }
 
-/// How a schedule goes.
+/// Rates of injected faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Trouble {
-    /// Part of the orders without an answer, carried out 2 to 12 s later, in thousandths.
+    /// Orders per thousand that are not answered and carried out 2 to 12 s later.
     pub late: u32,
-    /// Part of the answers that are lost, in thousandths.
+    /// Replies per thousand that are lost.
     pub lost: u32,
 }
 
@@ -133,36 +135,37 @@
     pub term: u64,
     pub workers: Vec<FakeWorker>,
     pub trouble: Trouble,
-    /// Whether connections to workers that are cut off fail at once.
+    /// Whether connections to unreachable workers fail at once.
     pub refuse_cut: bool,
     pub answers: BTreeMap<u64, Answer>,
-    /// When each job was seen to be completed.
+    /// Time at which each job was first seen as completed.
     pub completed: BTreeMap<JobId, u64>,
     pub questions: u64,
-    /// Instances that can ask the permission service, from the next leader on.
+    /// Number of instances that can query the permission service, from the next leader
+    /// on.
     pub askers: u64,
-    /// Whether one worker of three may run a step, instead of two.
+    /// Whether one worker in three may run a step instead of two in three.
     pub is_strict: bool,
-    /// Milliseconds of work of the permission service.
+    /// Total time that the permission service spent on requests, in milliseconds.
     pub asked_ms: f64,
     pub first_start: BTreeMap<StepName, u64>,
-    /// Tasks that are to last and are not at a worker, and since when.
+    /// Long-running tasks that are not on a worker, with the time since when.
     pub away: BTreeMap<TaskName, u64>,
-    /// How long each task that is to last waited for each of its starts.
+    /// Time that a long-running task waited, for each of its starts.
     pub gaps: Vec<(TaskName, u64)>,
-    /// Workers that ever had a task.
+    /// Workers that have had each task.
     had_by: BTreeMap<TaskName, BTreeSet<usize>>,
-    /// Tasks that have started.
+    /// Tasks that have started at least once.
     started: BTreeSet<TaskName>,
-    /// Runs that an order has stopped.
+    /// Number of runs that were stopped by an order.
     pub stops: u64,
-    /// Ends of jobs that have a line.
+    /// Outcome in the log event of each ended job.
     pub job_lines: BTreeMap<String, Standing>,
     events: BTreeMap<(u64, u64), Event>,
     open: BTreeSet<u64>,
     sequence: u64,
     next_call: u64,
-    /// Whether commands were applied since the jobs were last looked at.
+    /// Whether commands were applied since the last check of the jobs.
     has_applied: bool,
     asker_free: BTreeMap<u64, u64>,
     rng: ChaCha8Rng,
@@ -170,9 +173,9 @@
     failed_noted: BTreeMap<TaskName, u32>,
     sizes: BTreeMap<JobId, Vec<StepSpec>>,
     durations: BTreeMap<JobId, u64>,
-    /// First due time of timed jobs and the time between two.
+    /// First due time and interval of repeating jobs.
     due: BTreeMap<JobId, (u64, u64)>,
-    /// Calls that handed jobs in.
+    /// Call that submitted each job.
     handed: BTreeMap<JobId, u64>,
     cancelled: BTreeSet<JobId>,
 }
@@ -304,8 +307,7 @@
         }
     }
 
-    /// A new leader takes over; of what was proposed and not committed, a part that
-    /// is drawn by lot is.
+    /// Replaces the leader. A random prefix of the uncommitted proposals is committed.
     pub fn take_over(&mut self) {
         let proposed: Vec<(u64, u64)> = self
             .events
@@ -362,7 +364,7 @@
         })))
     }
 
-    /// Hands in a job whose tasks run for `ms`.
+    /// Submits a job whose tasks run for `ms`.
     pub fn submit(&mut self, queue: &str, id: u64, steps: Vec<StepSpec>, ms: u64) {
         let submission = Submission {
             steps,
@@ -371,7 +373,8 @@
         self.submit_as(queue, id, submission, ms);
     }
 
-    /// Hands in a job whose steps run `times` times, the first time in `delay`.
+    /// Submits a job that occurs `times` times, first after `delay` and then at that
+    /// interval.
     pub fn submit_timed(&mut self, id: u64, steps: Vec<StepSpec>, ms: u64, delay: u64, times: u32) {
         let submission = Submission {
             steps,
@@ -408,7 +411,7 @@
         self.handed.insert(id, call);
     }
 
-    /// Lets a worker say that it drains.
+    /// Has a worker report that it drains.
     pub fn drain(&mut self, at: usize) {
         self.workers[at].report.draining = true;
         self.workers[at].report.sequence += 1;
@@ -473,7 +476,8 @@
     }
 
     fn send(&mut self, order: Order) {
-        // Numbers begin anew with each leader, so that the fence tells them apart.
+        // Each leader numbers its orders from the start, so the fencing token is part of
+        // the key.
         let key = order.number + (order.fence << 40);
         self.open.insert(key);
         let timeout = order.timeout.as_millis() as u64;
@@ -491,8 +495,9 @@
             self.open.remove(&key);
             self.schedule(timeout, Event::Answer(key, Reply::NoAnswer));
             self.open.insert(key);
-            // Nothing in an order tells the incarnation that it is meant for, so that one
-            // that is held up until a later one works would do harm that nobody can avert.
+            // An order does not name the incarnation that it is meant for. Had a delayed
+            // order reached a later incarnation, no leader could prevent the harm, so it
+            // is dropped instead.
             life = state_life(&self.state, &order.worker);
             self.rng.random_range(2_000..12_000)
         } else {
@@ -507,7 +512,7 @@
         match note {
             Note::Ended { worker, .. } => {
                 let is_known = self.state.worker_keys.contains_key(&worker);
-                assert!(is_known, "a line names the unknown worker {worker}");
+                assert!(is_known, "the log names the unknown worker {worker}");
             }
             Note::JobCompleted { job, .. } => self.note_job(&job, Standing::Completed),
             Note::JobFailed { job, .. } => self.note_job(&job, Standing::Failed),
@@ -517,7 +522,7 @@
 
     fn note_job(&mut self, job: &str, standing: Standing) {
         let before = self.job_lines.insert(job.to_owned(), standing);
-        assert_eq!(before, None, "two lines for the end of {job}");
+        assert_eq!(before, None, "the end of job {job} was logged twice");
     }
 
     fn ask(&mut self, asker: u64, question: &Question) {
@@ -532,7 +537,7 @@
             .max(self.now)
             + cost;
         self.asker_free.insert(asker, free);
-        // Two workers of three may run a step.
+        // Two workers in three may run a step, or one in three if strict.
         let granted = question
             .workers
             .iter()
@@ -643,7 +648,7 @@
             Work::Start {
                 task, run, until, ..
             } => {
-                // The time of an order that was held up is not the leader's.
+                // The leader does not control when a delayed order arrives.
                 let drained = worker.drained_at.filter(|_| !is_late);
                 assert!(
                     drained.is_none_or(|drained| self.now <= drained + DRAIN_MS),
@@ -672,7 +677,8 @@
                 if let Some(until) = until {
                     worker.deadline = worker.deadline.max((*until).min(most));
                 }
-                // An end whose worker's lease lapsed before it was noted need not be known.
+                // An end that preceded a lease expiry may be unknown to the leader when
+                // it is acknowledged.
                 for end in worker.ended.iter().filter(|e| e.number <= *seen) {
                     if end.how == How::Done && end.number > worker.lapsed_to {
                         self.done_noted.insert(end.task);
@@ -684,7 +690,7 @@
                 } else {
                     0
                 };
-                // A look that waits is answered when its time is over or at an end.
+                // An inspection is answered when its wait is over or a run ends.
                 let first = worker.runs.values().map(|r| r.ends).min();
                 let until_end = first.map_or(wait, |ends| ends.saturating_sub(self.now) + 1);
                 let event = Event::Look(Box::new(order.clone()), at as u64, worker.born_at);
@@ -741,14 +747,14 @@
             .find(|w| w.runs.contains_key(&task));
         assert!(
             elsewhere.is_none(),
-            "{task} run {run} starts on {} at {} while {} has it",
+            "{task} run {run} starts on {} at {} ms while it runs on {}",
             worker.report.id,
             self.now,
             elsewhere.expect("found").report.id
         );
         assert!(
             !self.done_noted.contains(&task),
-            "{task} starts after its end was noted"
+            "{task} starts after its end was acknowledged"
         );
         let failed = self.failed_noted.get(&task).copied().unwrap_or(0);
         assert!(
@@ -758,7 +764,7 @@
         let used = worker.used() + spec.room();
         assert!(
             used.fits(&worker.report.capacity),
-            "{} is over its capacity",
+            "the runs on {} exceed its capacity",
             worker.report.id
         );
         self.check_place(at, task, &spec);
@@ -770,11 +776,14 @@
         }
         if let Some((first, every)) = self.due.get(&task.step.job) {
             let due = first + every * u64::from(task.step.occurrence);
-            assert!(self.now + EARLY_MAX_MS >= due, "{task} starts before {due}");
+            assert!(
+                self.now + EARLY_MAX_MS >= due,
+                "{task} starts too early; it is due at {due} ms"
+            );
         }
         let handed = &self.handed[&task.step.job];
         let refused = matches!(self.answers.get(handed), Some(Answer::Unavailable { .. }));
-        assert!(!refused, "{task} of a refused job starts");
+        assert!(!refused, "{task} starts although its job was refused");
         let cap = self.state.accounts[0].cap;
         if cap != Amount::default() {
             let running = self.workers.iter().filter(|w| w.up);
@@ -783,7 +792,7 @@
                 .fold(spec.need, |sum, run| sum + run.room);
             assert!(
                 needed.is_within_cap(&cap),
-                "the account is over its cap: {needed:?}"
+                "the account exceeds its cap: {needed:?}"
             );
         }
         self.first_start.entry(task.step).or_insert(self.now);
@@ -793,7 +802,7 @@
             self.gaps.push((task, self.now - since));
         }
         let unlucky = self.rng.random_range(0..100) < self.workers[at].fails_some;
-        // One task of ten that are to last fails now and then.
+        // One in ten long-running tasks fails after its run time.
         let fails_later = spec.lasting && task.index.is_multiple_of(10);
         let lasts = spec.lasting && !fails_later;
         let worker = &mut self.workers[at];
@@ -819,14 +828,14 @@
         Reply::Done(clock)
     }
 
-    // Labels, and how many tasks of a step a worker may have.
+    // Checks the label and the limit of tasks per worker.
     fn check_place(&self, at: usize, task: TaskName, spec: &StepSpec) {
         let worker = &self.workers[at];
         let id = &worker.report.id;
         let fits = |label: &String| worker.report.labels.contains(label);
         assert!(
             spec.label.as_ref().is_none_or(fits),
-            "{task} starts on {id} without {:?}",
+            "{task} starts on {id}, which lacks the label {:?}",
             spec.label
         );
         let beside = worker.runs.keys().filter(|other| other.step == task.step);
@@ -834,7 +843,7 @@
         let beside = beside.count();
         assert!(
             most == 0 || beside < most,
-            "{task} starts on {id} beside {beside} of its step"
+            "{task} starts on {id}, which already runs {beside} tasks of the step"
         );
     }
 
@@ -866,8 +875,8 @@
                 worker.end(task, run, how);
                 ended.push(task);
             }
-            // A deadline is only ever put off, and a clock that is two percent slow takes
-            // at least as long as a true one.
+            // Leases are only ever extended, and a clock that is 2 % slow reaches the
+            // expiry no earlier than an exact one, so nothing ends before this time.
             let first = worker.runs.values().map(|r| r.ends).min();
             let lapse = now + worker.deadline.saturating_sub(clock);
             worker.quiet_until = first.map_or(lapse, |ends| ends.min(lapse)).max(now + 1);
@@ -891,14 +900,14 @@
         }
     }
 
-    /// Crashes a worker; it comes back as another incarnation.
+    /// Crashes a worker for good.
     pub fn crash(&mut self, at: usize) {
         self.workers[at].up = false;
         self.drop_runs(at);
     }
 
-    /// Crashes a worker and starts it again at once, under its id and at its address.
-    /// Orders that are on their way to it still arrive.
+    /// Crashes a worker and restarts it at once under its id and address. Orders under
+    /// way still arrive.
     pub fn restart(&mut self, at: usize) {
         let now = self.now;
         self.drop_runs(at);
@@ -936,7 +945,7 @@
         }
     }
 
-    /// Returns accepted jobs that have neither completed nor been cancelled.
+    /// Returns the accepted jobs that are neither completed nor cancelled.
     pub fn unfinished(&self) -> Vec<JobId> {
         let is_accepted = |id: &JobId| {
             let answer = self.answers.get(&self.handed[id]);
@@ -950,7 +959,7 @@
             .collect()
     }
 
-    /// Returns how many tasks of a job's first step have started.
+    /// Returns the number of tasks of a job's first step that have started.
     pub fn starts_of(&self, job: u64) -> usize {
         let started = self.started.iter();
         started
@@ -958,7 +967,7 @@
             .count()
     }
 
-    /// Returns runs on workers that are up.
+    /// Returns the number of runs on workers that are up.
     pub fn running(&self) -> usize {
         self.workers
             .iter()
@@ -982,7 +991,8 @@
     !sum.is_multiple_of(3)
 }
 
-/// A step of `count` tasks on `cores` cores each, estimated at `ms`.
+/// Returns a step of `count` tasks that need `cores` cores each and run for an estimated
+/// `ms`.
 pub fn tasks(count: u16, cores: i64, ms: u64) -> StepSpec {
     StepSpec {
         count,
