--- a/src/core/plane/lead/channel.rs
+++ b/src/core/plane/lead/channel.rs
@@ -8,22 +8,22 @@
 
 /// A worker with an order unanswered for longer than this is unresponsive: its leases are
 /// not renewed.
-pub const SILENCE_MAX: Duration = Duration::from_millis(1_200);
+pub const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_200);
 /// A worker that has neither answered nor reported for this long gets no new runs: two of
 /// its reports are missing. It is inspected after half of that time.
-const UNHEARD_MAX: Duration = Duration::from_millis(4_000);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Failure score from which on a worker is excluded from placement: two failures with at
 /// most one success between them.
-const FAILURES_MAX: f64 = 1.6;
+const FAILURE_SCORE_MAX: f64 = 1.6;
 /// Factor by which a success reduces the failure score.
-const FAILURES_KEPT: f64 = 0.7;
+const SUCCESS_FACTOR: f64 = 0.7;
 /// Half-life of the failure score.
-const FAILURES_HALF: Duration = Duration::from_secs(8);
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(8);
 /// Initial time for which a failing worker is excluded from placement. It doubles with
 /// each repetition.
-const AVOID_FIRST: Duration = Duration::from_secs(3);
+const EXCLUSION_MIN: Duration = Duration::from_secs(3);
 /// Maximum time for which a failing worker is excluded from placement.
-const AVOID_MAX: Duration = Duration::from_secs(24);
+const EXCLUSION_MAX: Duration = Duration::from_secs(24);
 /// Maximum rate by which a worker's clock falls behind the leader's, as a divisor: 2 %.
 const CLOCK_SLOW_DIVISOR: u64 = 50;
 /// Weight of the latest run in the moving average of a worker's speed.
@@ -40,12 +40,12 @@
 
 impl Reading {
     /// Returns the expected reading of the clock now, if it runs at the leader's rate.
-    pub fn likely(&self, now: Moment) -> u64 {
+    pub fn estimate(&self, now: Moment) -> u64 {
         self.clock_ms + now.since(self.at).as_millis() as u64
     }
 
     /// Returns the lowest possible reading of the clock now.
-    pub fn least(&self, now: Moment) -> u64 {
+    pub fn lower_bound(&self, now: Moment) -> u64 {
         let passed = now.since(self.at).as_millis() as u64;
         self.clock_ms + passed - passed / CLOCK_SLOW_DIVISOR
     }
@@ -53,7 +53,7 @@
 
 /// Properties of a run that affect the placement of other tasks on the same worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Nature {
+pub struct Traits {
     /// Processor time taken by urgent work, in thousandths of a core.
     pub urgent_cpu: i64,
     /// Whether the task has a response-time target for users of its own.
@@ -89,7 +89,7 @@
 
     /// Returns how long the run has made no progress, given that lists are expected every
     /// `interval`. Time for which a list is overdue does not count.
-    pub fn standstill(&self, now: Moment, interval: Duration) -> Duration {
+    pub fn stalled_for(&self, now: Moment, interval: Duration) -> Duration {
         now.min(self.shown_at + interval).since(self.since)
     }
 }
@@ -120,7 +120,7 @@
     /// Whether the end of the run is proposed and not yet committed.
     pub ending: bool,
     /// Effect on the placement of other tasks.
-    pub nature: Nature,
+    pub traits: Traits,
 }
 
 /// The leader's view of a worker incarnation.
@@ -135,20 +135,20 @@
     /// Time of the latest report.
     pub reported_at: Moment,
     /// Latest lease expiry that was sent, in milliseconds on the worker's clock.
-    pub until: u64,
+    pub lease_until: u64,
     /// Time by which all runs ordered by earlier leaders have ended, unless their leases
     /// were renewed.
     pub lapse_by: Moment,
     /// Number of the latest end up to which all ends are committed.
-    pub seen: u64,
+    pub committed_end: u64,
     /// Number up to which the worker knows its ends to be committed.
-    pub told_seen: u64,
+    pub acknowledged_end: u64,
     /// Number of the latest end that was proposed.
-    pub proposed: u64,
+    pub proposed_end: u64,
     /// Number of the outstanding inspection.
-    pub look: Option<u64>,
+    pub inspection: Option<u64>,
     /// Time at which the next inspection is due.
-    pub look_at: Moment,
+    pub inspect_at: Moment,
     /// Time of the first unanswered order since the latest answer.
     pub unanswered_since: Option<Moment>,
     /// Runs that may be on the worker, by task.
@@ -158,7 +158,7 @@
     /// Number of runs that were ordered from an earlier incarnation.
     inherited: usize,
     /// Number of runs in the latest list that the leader did not expect there.
-    pub strays: usize,
+    pub unexpected: usize,
     /// Processor time taken by urgent runs, in thousandths of a core.
     pub urgent_cpu: i64,
     /// Number of runs with a response-time target for users of their own.
@@ -173,9 +173,9 @@
     failures: f64,
     failures_at: Moment,
     /// Number of times in a row that the worker was excluded from placement.
-    avoided: u32,
+    exclusions: u32,
     /// Time until which the worker is excluded from placement.
-    pub avoid_until: Moment,
+    pub excluded_until: Moment,
     /// Moving average of run times relative to the expected ones.
     pub slowness: f64,
     /// Time at which the worker announced that it shuts down.
@@ -191,18 +191,18 @@
             reading: None,
             heard_at: now,
             reported_at: now,
-            until: 0,
+            lease_until: 0,
             lapse_by,
-            seen: 0,
-            told_seen: 0,
-            proposed: 0,
-            look: None,
-            look_at: now,
+            committed_end: 0,
+            acknowledged_end: 0,
+            proposed_end: 0,
+            inspection: None,
+            inspect_at: now,
             unanswered_since: None,
             live: BTreeMap::new(),
             ending: 0,
             inherited: 0,
-            strays: 0,
+            unexpected: 0,
             urgent_cpu: 0,
             serving: 0,
             filling: 0,
@@ -210,8 +210,8 @@
             reserved: Amount::default(),
             failures: 0.0,
             failures_at: now,
-            avoided: 0,
-            avoid_until: Moment::ZERO,
+            exclusions: 0,
+            excluded_until: Moment::ZERO,
             slowness: 1.0,
             departing: None,
         }
@@ -230,9 +230,9 @@
     /// Adds a run. Replaces an earlier run of the same task.
     pub fn insert(&mut self, task: TaskName, live: Live) {
         self.remove(task);
-        self.urgent_cpu += live.nature.urgent_cpu;
-        self.serving += usize::from(live.nature.serving);
-        self.filling += usize::from(live.nature.filling);
+        self.urgent_cpu += live.traits.urgent_cpu;
+        self.serving += usize::from(live.traits.serving);
+        self.filling += usize::from(live.traits.filling);
         self.inherited += usize::from(live.from.is_some());
         self.live.insert(task, live);
     }
@@ -243,9 +243,9 @@
             return;
         };
         self.ending -= usize::from(live.ending);
-        self.urgent_cpu -= live.nature.urgent_cpu;
-        self.serving -= usize::from(live.nature.serving);
-        self.filling -= usize::from(live.nature.filling);
+        self.urgent_cpu -= live.traits.urgent_cpu;
+        self.serving -= usize::from(live.traits.serving);
+        self.filling -= usize::from(live.traits.filling);
         self.inherited -= usize::from(live.from.is_some());
     }
 
@@ -261,37 +261,37 @@
     }
 
     /// Returns whether any end is proposed and not yet committed.
-    pub const fn is_storing(&self) -> bool {
+    pub const fn has_uncommitted_ends(&self) -> bool {
         self.ending > 0
     }
 
     /// Records an answer that carries the worker's clock.
-    pub fn hear(&mut self, now: Moment, clock_ms: u64) {
+    pub fn record_answer(&mut self, now: Moment, clock_ms: u64) {
         self.heard_at = now;
         self.unanswered_since = None;
         self.reading = Some(Reading { clock_ms, at: now });
     }
 
     /// Records that the order sent at `sent_at` was not answered.
-    pub fn miss(&mut self, sent_at: Moment) {
+    pub fn record_unanswered(&mut self, sent_at: Moment) {
         self.unanswered_since.get_or_insert(sent_at);
     }
 
-    /// Returns whether an order has been unanswered for longer than [`SILENCE_MAX`].
-    pub fn is_silent(&self, now: Moment) -> bool {
+    /// Returns whether an order has been unanswered for longer than [`UNRESPONSIVE_AFTER`].
+    pub fn is_unresponsive(&self, now: Moment) -> bool {
         self.unanswered_since
-            .is_some_and(|at| now.since(at) > SILENCE_MAX)
+            .is_some_and(|at| now.since(at) > UNRESPONSIVE_AFTER)
     }
 
     /// Returns whether the worker has neither answered nor reported for `limit`.
-    pub fn is_unheard(&self, now: Moment, limit: Duration) -> bool {
+    pub fn is_out_of_contact(&self, now: Moment, limit: Duration) -> bool {
         now.since(self.heard_at.max(self.reported_at)) >= limit
     }
 
     /// Returns whether the worker should be inspected to find out whether it is still
     /// alive.
-    pub fn needs_look(&self, now: Moment) -> bool {
-        self.is_unheard(now, UNHEARD_MAX / 2)
+    pub fn needs_inspection(&self, now: Moment) -> bool {
+        self.is_out_of_contact(now, CONTACT_TIMEOUT / 2)
     }
 
     /// Returns whether the worker may get new runs. Runs that the replicated state does
@@ -299,19 +299,19 @@
     pub fn is_usable(&self, now: Moment) -> bool {
         self.adopted
             && self.inherited == 0
-            && self.strays == 0
+            && self.unexpected == 0
             && self.unanswered_since.is_none()
             && self.departing.is_none()
-            && !self.is_unheard(now, UNHEARD_MAX)
-            && now >= self.avoid_until
-            && (self.failures(now) < FAILURES_MAX || self.live.is_empty())
+            && !self.is_out_of_contact(now, CONTACT_TIMEOUT)
+            && now >= self.excluded_until
+            && (self.failures(now) < FAILURE_SCORE_MAX || self.live.is_empty())
     }
 
     /// Returns the lease expiry for an order sent now, in milliseconds on the worker's
     /// clock, or `None` if that clock is unknown.
     pub fn lease_end(&mut self, now: Moment, hold: Duration) -> Option<u64> {
-        let until = self.reading?.likely(now) + hold.as_millis() as u64;
-        self.until = self.until.max(until);
+        let until = self.reading?.estimate(now) + hold.as_millis() as u64;
+        self.lease_until = self.lease_until.max(until);
         Some(until)
     }
 
@@ -321,37 +321,37 @@
             return false;
         }
         self.reading
-            .is_none_or(|reading| reading.least(now) > self.until)
+            .is_none_or(|reading| reading.lower_bound(now) > self.lease_until)
     }
 
     /// Returns the current failure score.
     pub fn failures(&self, now: Moment) -> f64 {
-        let halves = now.since(self.failures_at).as_secs_f64() / FAILURES_HALF.as_secs_f64();
+        let halves = now.since(self.failures_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         self.failures * 0.5_f64.powf(halves)
     }
 
     /// Adds `weight` to the failure score. Returns for how long the worker is excluded
     /// from placement, if it is.
-    pub fn fail(&mut self, now: Moment, weight: f64) -> Option<Duration> {
+    pub fn record_failure(&mut self, now: Moment, weight: f64) -> Option<Duration> {
         self.failures = self.failures(now) + weight;
         self.failures_at = now;
-        if self.failures < FAILURES_MAX {
+        if self.failures < FAILURE_SCORE_MAX {
             return None;
         }
-        let wait = (AVOID_FIRST * 2_u32.pow(self.avoided.min(8))).min(AVOID_MAX);
-        if now >= self.avoid_until {
-            self.avoided += 1;
+        let wait = (EXCLUSION_MIN * 2_u32.pow(self.exclusions.min(8))).min(EXCLUSION_MAX);
+        if now >= self.excluded_until {
+            self.exclusions += 1;
         }
-        self.avoid_until = now + wait;
+        self.excluded_until = now + wait;
         Some(wait)
     }
 
     /// Records a successful run that took `ratio` times as long as expected.
-    pub fn succeed(&mut self, now: Moment, ratio: f64) {
-        self.failures = self.failures(now) * FAILURES_KEPT;
+    pub fn record_success(&mut self, now: Moment, ratio: f64) {
+        self.failures = self.failures(now) * SUCCESS_FACTOR;
         self.failures_at = now;
-        if self.failures < FAILURES_MAX / 4.0 {
-            self.avoided = 0;
+        if self.failures < FAILURE_SCORE_MAX / 4.0 {
+            self.exclusions = 0;
         }
         self.slowness += SPEED_WEIGHT * (ratio.clamp(0.2, 10.0) - self.slowness);
     }
--- a/src/core/plane/lead/mod.rs
+++ b/src/core/plane/lead/mod.rs
@@ -55,12 +55,12 @@
 
 /// Minimum interval between planning rounds. Starts and ends of a round share one log
 /// entry, and a round costs about 100 us of processor time.
-const PLAN_EVERY: Duration = Duration::from_millis(4);
+const PLAN_INTERVAL_MIN: Duration = Duration::from_millis(4);
 /// Pause per worker or step examined in a round: about four times what that takes on a
 /// slow instance, so that planning takes at most a fifth of the processor time.
-const PLAN_WORK: Duration = Duration::from_nanos(400);
+const PLAN_PAUSE_PER_ITEM: Duration = Duration::from_nanos(400);
 /// Maximum interval between planning rounds, for changes that only depend on time.
-const PLAN_IDLE: Duration = Duration::from_millis(100);
+const PLAN_INTERVAL_MAX: Duration = Duration::from_millis(100);
 /// Weight of the latest run in the moving average of run times relative to estimates.
 const ESTIMATE_WEIGHT: f64 = 0.1;
 
@@ -123,7 +123,7 @@
             urgent_use: 0.0,
             dirty: true,
             planned_at: Moment::ZERO,
-            plan_pause: PLAN_EVERY,
+            plan_pause: PLAN_INTERVAL_MIN,
             effects: Vec::new(),
         };
         for (key, worker) in (0..).map(WorkerKey).zip(&state.workers) {
@@ -136,7 +136,7 @@
                 let live = Live {
                     run: run.run,
                     ordered_at: now.at,
-                    nature: workers::nature(state, *task, run.room.cpu),
+                    traits: workers::traits(state, *task, run.room.cpu),
                     ..Live::default()
                 };
                 channel.insert(*task, live);
@@ -181,21 +181,21 @@
             self.dirty = true;
         }
         self.tick_workers(now, state);
-        self.maybe_plan(now, state);
+        self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
     /// Handles a query.
     pub fn ask(&mut self, now: Now, state: &State, call: Call, query: Query) -> Vec<Effect> {
-        self.take_query(now, state, call, query);
-        self.maybe_plan(now, state);
+        self.process_query(now, state, call, query);
+        self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
     /// Handles the reply to an order.
     pub fn reply(&mut self, now: Now, state: &State, number: u64, reply: Reply) -> Vec<Effect> {
-        self.take_reply(now, state, number, reply);
-        self.maybe_plan(now, state);
+        self.process_reply(now, state, number, reply);
+        self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
@@ -219,7 +219,7 @@
             self.note_permission(finished);
             self.dirty = true;
         }
-        self.maybe_plan(now, state);
+        self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
@@ -251,7 +251,7 @@
                 self.note_ended_jobs(state, *at_ms);
             }
         }
-        self.maybe_plan(now, state);
+        self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
@@ -272,7 +272,7 @@
             self.started(now, state, *start);
         }
         for worker in places {
-            self.advance_seen(now, worker);
+            self.acknowledge_ends(now, worker);
         }
     }
 
@@ -317,16 +317,16 @@
         });
     }
 
-    fn maybe_plan(&mut self, now: Now, state: &State) {
+    fn plan_if_due(&mut self, now: Now, state: &State) {
         let passed = now.at.since(self.planned_at);
-        let is_due = self.dirty && passed >= self.plan_pause || passed >= PLAN_IDLE;
+        let is_due = self.dirty && passed >= self.plan_pause || passed >= PLAN_INTERVAL_MAX;
         if !is_due {
             return;
         }
         self.dirty = false;
         self.planned_at = now.at;
         let (starts, work) = self.plan(now, state);
-        self.plan_pause = (PLAN_EVERY + PLAN_WORK * work).min(PLAN_IDLE);
+        self.plan_pause = (PLAN_INTERVAL_MIN + PLAN_PAUSE_PER_ITEM * work).min(PLAN_INTERVAL_MAX);
         let ends = std::mem::take(&mut self.ends);
         if !starts.is_empty() || !ends.is_empty() {
             let at_ms = now.wall_ms;
@@ -344,11 +344,11 @@
         if self.dirty {
             self.planned_at + self.plan_pause
         } else {
-            self.planned_at + PLAN_IDLE
+            self.planned_at + PLAN_INTERVAL_MAX
         }
     }
 
-    fn learn_ratio(&mut self, queue: &str, ratio: f64) {
+    fn update_ratio(&mut self, queue: &str, ratio: f64) {
         let known = self.ratios.entry(queue.to_owned()).or_insert(1.0);
         *known += ESTIMATE_WEIGHT * (ratio.clamp(0.1, 10.0) - *known);
     }
--- a/src/core/plane/lead/replies.rs
+++ b/src/core/plane/lead/replies.rs
@@ -4,7 +4,7 @@
 
 use super::channel::{Live, Progress};
 use super::io::{Declined, EndRow, Lists, Note, Reply, RunningRow, Sent};
-use super::workers::{ANSWER_TIMEOUT, LOOK_RETRY, TELL_SEEN_AFTER};
+use super::workers::{ACKNOWLEDGE_DELAY, ANSWER_TIMEOUT, INSPECT_RETRY};
 use super::{Lead, Now};
 use crate::core::plane::state::{Command, End, State};
 use crate::core::plane::types::{How, TaskName, WorkerKey};
@@ -14,10 +14,10 @@
 const ENDS_MAX: usize = 500;
 /// Delay of the next inspection of a worker that needs none: longer than any term lasts
 /// without another reason for one.
-const NEVER: Duration = Duration::from_secs(3_600);
+const IDLE_INSPECT_DELAY: Duration = Duration::from_secs(3_600);
 
 impl Lead {
-    pub(super) fn take_reply(&mut self, now: Now, state: &State, number: u64, reply: Reply) {
+    pub(super) fn process_reply(&mut self, now: Now, state: &State, number: u64, reply: Reply) {
         let Some(sent) = self.sent.remove(&number) else {
             return;
         };
@@ -30,7 +30,7 @@
             return;
         }
         match sent.run {
-            None => self.looked(now, state, number, sent, reply),
+            None => self.inspection_replied(now, state, number, sent, reply),
             Some((task, run)) if sent.is_start => {
                 self.start_replied(now, state, sent, task, run, &reply);
             }
@@ -39,20 +39,20 @@
     }
 
     fn replaced(&mut self, now: Now, key: WorkerKey) {
-        self.set_aside(now, key);
+        self.suspend_inspections(now, key);
         self.propose(Command::Depart(key), Vec::new());
     }
 
-    fn set_aside(&mut self, now: Now, key: WorkerKey) {
+    fn suspend_inspections(&mut self, now: Now, key: WorkerKey) {
         let channel = self.channels.get_mut(&key).expect("known worker");
         channel.adopted = false;
-        channel.look = None;
-        channel.look_at = now.at + NEVER;
+        channel.inspection = None;
+        channel.inspect_at = now.at + IDLE_INSPECT_DELAY;
     }
 
-    fn missed(&mut self, now: Now, state: &State, sent: Sent) {
+    fn order_unanswered(&mut self, now: Now, state: &State, sent: Sent) {
         let channel = self.channels.get_mut(&sent.worker).expect("known worker");
-        channel.miss(sent.at);
+        channel.record_unanswered(sent.at);
         let silent_ms = now.at.since(channel.heard_at).as_millis() as u64;
         self.note(Note::OrderLost {
             worker: state.worker(sent.worker).report.id.clone(),
@@ -73,36 +73,36 @@
         match reply {
             Reply::Done(clock) => {
                 let channel = self.channels.get_mut(&key).expect("known worker");
-                channel.hear(now.at, *clock);
+                channel.record_answer(now.at, *clock);
                 if let Some(live) = channel.run_mut(task, run) {
                     live.confirmed_at.get_or_insert(now.at);
                 }
             }
             Reply::Declined(why) => {
                 self.declined(now, state, key, task, *why);
-                self.void(state, key, task, run, "start declined");
+                self.end_as_void(state, key, task, run, "start declined");
             }
             Reply::NotSent => {
-                self.void(state, key, task, run, "not sent");
-                self.missed(now, state, sent);
-                self.look_soon(now, key);
+                self.end_as_void(state, key, task, run, "not sent");
+                self.order_unanswered(now, state, sent);
+                self.inspect_soon(now, key);
             }
             Reply::NoAnswer | Reply::Replaced | Reply::Lists(..) => {
-                self.missed(now, state, sent);
+                self.order_unanswered(now, state, sent);
                 let channel = self.channels.get_mut(&key).expect("known worker");
                 if let Some(live) = channel.run_mut(task, run) {
                     live.in_doubt = true;
                 }
-                self.look_soon(now, key);
+                self.inspect_soon(now, key);
             }
         }
     }
 
     // Schedules an inspection. An unreachable worker gets no new runs before it answers
     // one.
-    fn look_soon(&mut self, now: Now, key: WorkerKey) {
+    fn inspect_soon(&mut self, now: Now, key: WorkerKey) {
         let channel = self.channels.get_mut(&key).expect("known worker");
-        channel.look_at = channel.look_at.min(now.at + LOOK_RETRY);
+        channel.inspect_at = channel.inspect_at.min(now.at + INSPECT_RETRY);
     }
 
     fn declined(&mut self, now: Now, state: &State, key: WorkerKey, task: TaskName, why: Declined) {
@@ -110,15 +110,15 @@
         match why {
             Declined::Permit => self.permits.revoke(task.step, key),
             Declined::Unhealthy | Declined::Malformed => {
-                if let Some(wait) = channel.fail(now.at, 1.0) {
+                if let Some(wait) = channel.record_failure(now.at, 1.0) {
                     let failures = channel.failures(now.at);
                     self.note_avoided(state, key, failures, wait);
                 }
             }
             Declined::Room | Declined::Late | Declined::Fence | Declined::Old => {
                 // The worker's runs or its clock differ from the leader's view of them.
-                channel.avoid_until = channel.avoid_until.max(now.at + LOOK_RETRY);
-                channel.look_at = channel.look_at.min(now.at);
+                channel.excluded_until = channel.excluded_until.max(now.at + INSPECT_RETRY);
+                channel.inspect_at = channel.inspect_at.min(now.at);
             }
         }
     }
@@ -133,41 +133,48 @@
         reply: &Reply,
     ) {
         if matches!(reply, Reply::NoAnswer) {
-            self.missed(now, state, sent);
+            self.order_unanswered(now, state, sent);
             return;
         }
         let channel = self.channels.get_mut(&sent.worker).expect("known worker");
         if let Reply::Done(clock) = reply {
-            channel.hear(now.at, *clock);
+            channel.record_answer(now.at, *clock);
             if let Some(live) = channel.run_mut(task, run) {
                 live.stopped_at = Some(now.at);
             }
-            if channel.look.is_none() {
-                channel.look_at = channel.look_at.min(now.at + self.bounds.stop);
+            if channel.inspection.is_none() {
+                channel.inspect_at = channel.inspect_at.min(now.at + self.bounds.stop);
             }
         }
     }
 
-    fn looked(&mut self, now: Now, state: &State, number: u64, sent: Sent, reply: Reply) {
+    fn inspection_replied(
+        &mut self,
+        now: Now,
+        state: &State,
+        number: u64,
+        sent: Sent,
+        reply: Reply,
+    ) {
         let key = sent.worker;
         let channel = self.channels.get_mut(&key).expect("known worker");
-        if channel.look == Some(number) {
-            channel.look = None;
+        if channel.inspection == Some(number) {
+            channel.inspection = None;
         }
         let Reply::Lists(clock, lists) = reply else {
-            channel.look_at = now.at + LOOK_RETRY;
-            self.missed(now, state, sent);
+            channel.inspect_at = now.at + INSPECT_RETRY;
+            self.order_unanswered(now, state, sent);
             return;
         };
         let born_ms = state.worker(key).report.born_ms;
         if lists.born_ms.is_some_and(|born| born != born_ms) {
             // A later incarnation uses the id now, and may have received orders for this
             // one. Its report will show this.
-            self.set_aside(now, key);
+            self.suspend_inspections(now, key);
             return;
         }
-        channel.hear(now.at, clock);
-        channel.told_seen = channel.told_seen.max(sent.seen);
+        channel.record_answer(now.at, clock);
+        channel.acknowledged_end = channel.acknowledged_end.max(sent.seen);
         let first = !channel.adopted;
         channel.adopted = true;
         if first {
@@ -178,30 +185,30 @@
             };
             self.note(note);
         }
-        self.take_lists(now, state, key, sent.at, first, &lists);
+        self.process_lists(now, state, key, sent.at, first, &lists);
         self.dirty = true;
-        self.schedule_look(now, key);
+        self.schedule_inspection(now, key);
     }
 
-    fn schedule_look(&mut self, now: Now, key: WorkerKey) {
+    fn schedule_inspection(&mut self, now: Now, key: WorkerKey) {
         let channel = self.channels.get_mut(&key).expect("known worker");
-        let is_storing = channel.is_storing();
-        channel.look_at = if is_storing {
+        let is_storing = channel.has_uncommitted_ends();
+        channel.inspect_at = if is_storing {
             // Rescheduled earlier once the ends are committed.
             now.at + ANSWER_TIMEOUT
         } else if !channel.live().is_empty() {
             now.at
-        } else if channel.strays > 0 {
+        } else if channel.unexpected > 0 {
             // Stop orders for the unexpected runs are under way.
             now.at + self.bounds.stop
-        } else if channel.seen > channel.told_seen {
-            now.at + TELL_SEEN_AFTER
+        } else if channel.committed_end > channel.acknowledged_end {
+            now.at + ACKNOWLEDGE_DELAY
         } else {
-            now.at + NEVER
+            now.at + IDLE_INSPECT_DELAY
         };
     }
 
-    fn take_lists(
+    fn process_lists(
         &mut self,
         now: Now,
         state: &State,
@@ -210,24 +217,30 @@
         first: bool,
         lists: &Lists,
     ) {
-        let mut strays = 0;
+        let mut unexpected = 0;
         for row in &lists.running {
-            strays += usize::from(!self.take_running(now, state, key, row));
+            unexpected += usize::from(!self.process_running(now, state, key, row));
         }
         let channel = self.channels.get_mut(&key).expect("known worker");
-        channel.strays = strays;
+        channel.unexpected = unexpected;
         for row in &lists.ended {
-            self.take_end(now, state, key, row);
+            self.process_end(now, state, key, row);
         }
         if lists.ended.len() < ENDS_MAX {
-            self.take_absent(now, state, key, sent_at, first, lists);
+            self.process_absent(now, state, key, sent_at, first, lists);
         }
-        self.advance_seen(now, key);
+        self.acknowledge_ends(now, key);
     }
 
     // Processes a run that the worker lists. Returns false if the run should not be
     // there.
-    fn take_running(&mut self, now: Now, state: &State, key: WorkerKey, row: &RunningRow) -> bool {
+    fn process_running(
+        &mut self,
+        now: Now,
+        state: &State,
+        key: WorkerKey,
+        row: &RunningRow,
+    ) -> bool {
         let channel = self.channels.get_mut(&key).expect("known worker");
         let Some(live) = channel.run_mut(row.task, row.run) else {
             self.stop(now, state, key, row.task, row.run, "unknown to the leader");
@@ -240,14 +253,14 @@
         true
     }
 
-    fn take_end(&mut self, now: Now, state: &State, key: WorkerKey, row: &EndRow) {
+    fn process_end(&mut self, now: Now, state: &State, key: WorkerKey, row: &EndRow) {
         let channel = self.channels.get_mut(&key).expect("known worker");
-        channel.proposed = channel.proposed.max(row.number);
+        channel.proposed_end = channel.proposed_end.max(row.number);
         if !channel.begin_end(row.task, row.run) {
             return;
         }
         let live = channel.live()[&row.task];
-        self.learn_from_end(now, state, key, row, &live);
+        self.update_statistics(now, state, key, row, &live);
         self.note(Note::Ended {
             task: row.task.to_string(),
             run: row.run,
@@ -264,7 +277,7 @@
         });
     }
 
-    fn learn_from_end(
+    fn update_statistics(
         &mut self,
         now: Now,
         state: &State,
@@ -290,16 +303,16 @@
                 let whole = task.checkpoint.is_none();
                 if let Some(ratio) = ratio.filter(|_| whole && estimate > 0.0) {
                     let usual = self.ratios.get(queue).copied().unwrap_or(1.0);
-                    channel.succeed(now.at, ratio / usual);
-                    self.learn_ratio(queue, ratio);
+                    channel.record_success(now.at, ratio / usual);
+                    self.update_ratio(queue, ratio);
                 } else {
-                    channel.succeed(now.at, 1.0);
+                    channel.record_success(now.at, 1.0);
                 }
             }
             // Only the first failure of a task counts against its worker. Repeated
             // failures are assumed to be the task's fault.
             How::Failed if task.failed == 0 => {
-                if let Some(wait) = channel.fail(now.at, 1.0) {
+                if let Some(wait) = channel.record_failure(now.at, 1.0) {
                     let failures = channel.failures(now.at);
                     self.note_avoided(state, key, failures, wait);
                 }
@@ -323,7 +336,7 @@
     }
 
     // Processes runs that the worker lists neither as current nor as ended.
-    fn take_absent(
+    fn process_absent(
         &mut self,
         now: Now,
         state: &State,
@@ -358,7 +371,7 @@
             }
         }
         for (task, run) in voids {
-            self.void(state, key, task, run, "absence from the worker's list");
+            self.end_as_void(state, key, task, run, "absence from the worker's list");
         }
         for (task, run) in stops {
             self.stop(now, state, key, task, run, "start order unanswered");
--- a/src/core/plane/lead/requests.rs
+++ b/src/core/plane/lead/requests.rs
@@ -18,11 +18,11 @@
 const OVERLOAD_RETRY_MS: u64 = 2_000;
 
 impl Lead {
-    pub(super) fn take_query(&mut self, now: Now, state: &State, call: Call, query: Query) {
+    pub(super) fn process_query(&mut self, now: Now, state: &State, call: Call, query: Query) {
         match query {
-            Query::Request(request) => self.take_request(now, state, call, *request),
-            Query::Report(report) => self.take_report(now, state, call, *report),
-            Query::Depart(id) => self.take_departure(now, state, call, &id),
+            Query::Request(request) => self.process_request(now, state, call, *request),
+            Query::Report(report) => self.process_report(now, state, call, *report),
+            Query::Depart(id) => self.process_departure(now, state, call, &id),
             Query::Configure { plan, document } => {
                 if let Err(err) = plan.check() {
                     let path = format!("configuration {}", plan.version);
@@ -48,7 +48,7 @@
         }
     }
 
-    fn take_request(&mut self, now: Now, state: &State, call: Call, request: Request) {
+    fn process_request(&mut self, now: Now, state: &State, call: Call, request: Request) {
         if state.plan.version == 0 {
             self.refuse(state, call, &request, no_configuration());
             return;
@@ -87,7 +87,7 @@
                 let submission = Submission { id, ..*submission };
                 self.submit(now, state, call, submission, queue, account);
             }
-            Action::Show => self.answer(call, standing_of(state, id)),
+            Action::Show => self.answer(call, status_of(state, id)),
             Action::Cancel => self.cancel(now, state, call, id),
         }
     }
@@ -159,7 +159,7 @@
         self.propose(command, vec![(call, Answer::Done)]);
     }
 
-    fn take_report(&mut self, now: Now, state: &State, call: Call, report: Report) {
+    fn process_report(&mut self, now: Now, state: &State, call: Call, report: Report) {
         if !report.capacity.is_in_range() {
             let why = format!("capacity {:?} is out of range", report.capacity);
             self.note_refusal(state, format!("report of {}", report.id), why.clone());
@@ -169,16 +169,17 @@
         let known = state.worker_keys.get(&report.id).copied();
         if let Some(key) = known {
             let worker = state.worker(key);
-            let same_life = worker.report.born_ms == report.born_ms;
-            let is_stale = !same_life && !report.is_later(&worker.report)
-                || same_life && report.sequence < worker.report.sequence;
-            let is_news = !(worker.gone || same_life && report.says_same(&worker.report));
+            let same_incarnation = worker.report.born_ms == report.born_ms;
+            let is_stale = !same_incarnation && !report.is_later(&worker.report)
+                || same_incarnation && report.sequence < worker.report.sequence;
+            let has_changes =
+                !(worker.gone || same_incarnation && report.equals_except_sequence(&worker.report));
             if let Some(channel) = self.channels.get_mut(&key)
-                && same_life
+                && same_incarnation
             {
                 channel.reported_at = now.at;
             }
-            if is_stale || same_life && !is_news {
+            if is_stale || same_incarnation && !has_changes {
                 self.answer(call, Answer::Done);
                 return;
             }
@@ -192,7 +193,7 @@
         self.propose(command, vec![(call, Answer::Done)]);
     }
 
-    fn take_departure(&mut self, now: Now, state: &State, call: Call, id: &str) {
+    fn process_departure(&mut self, now: Now, state: &State, call: Call, id: &str) {
         if let Some(key) = state.worker_keys.get(id)
             && let Some(channel) = self.channels.get_mut(key)
         {
@@ -238,7 +239,7 @@
     }
 }
 
-fn standing_of(state: &State, id: JobId) -> Answer {
+fn status_of(state: &State, id: JobId) -> Answer {
     match state.jobs.get(&id) {
         Some(job) => Answer::Standing(job.standing),
         None => Answer::Gone,
--- a/src/core/plane/lead/workers.rs
+++ b/src/core/plane/lead/workers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::channel::{Channel, Live, Nature};
+use super::channel::{Channel, Live, Traits};
 use super::io::{Effect, Note, Order, Sent, Work};
 use super::{Lead, Now};
 use crate::core::plane::job::{Phase, Standing};
@@ -12,15 +12,15 @@
 /// Maximum time that a worker delays its reply to an inspection until a run ends. Each
 /// inspection renews the lease, so a worker that is cut off keeps its runs for the lease
 /// less this time.
-const LOOK_WAIT: Duration = Duration::from_millis(800);
+const INSPECT_WAIT: Duration = Duration::from_millis(800);
 /// Time to wait for a reply beyond the requested delay: a hundred round trips.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Delay before a worker that did not reply is inspected again.
-pub(super) const LOOK_RETRY: Duration = Duration::from_millis(250);
+pub(super) const INSPECT_RETRY: Duration = Duration::from_millis(250);
 /// Delay of the first inspection after a start, so that consecutive starts share it.
-const LOOK_AFTER_START: Duration = Duration::from_millis(60);
+const INSPECT_AFTER_START: Duration = Duration::from_millis(60);
 /// Delay of an inspection that only acknowledges committed ends.
-pub(super) const TELL_SEEN_AFTER: Duration = Duration::from_millis(40);
+pub(super) const ACKNOWLEDGE_DELAY: Duration = Duration::from_millis(40);
 /// Interval at which an unanswered stop is repeated.
 const STOP_RETRY: Duration = Duration::from_millis(400);
 /// Time after which a worker that announced its shutdown counts as gone.
@@ -61,15 +61,15 @@
                 self.propose(Command::Depart(key), Vec::new());
                 continue;
             }
-            let unheard = !channel.adopted || channel.unanswered_since.is_some();
-            if unheard && !channel.live().is_empty() && channel.has_lapsed(now.at) {
-                self.void_all(key, state, "lease expiry");
+            let out_of_contact = !channel.adopted || channel.unanswered_since.is_some();
+            if out_of_contact && !channel.live().is_empty() && channel.has_lapsed(now.at) {
+                self.end_all_as_void(key, state, "lease expiry");
             }
             let channel = self.channels.get_mut(&key).expect("not removed above");
-            let is_due = now.at >= channel.look_at
-                || channel.unanswered_since.is_none() && channel.needs_look(now.at);
-            if channel.look.is_none() && is_due && !worker.gone {
-                self.look(now, state, key);
+            let is_due = now.at >= channel.inspect_at
+                || channel.unanswered_since.is_none() && channel.needs_inspection(now.at);
+            if channel.inspection.is_none() && is_due && !worker.gone {
+                self.inspect(now, state, key);
             }
             if check_runs {
                 self.tick_runs(now, state, key);
@@ -102,7 +102,7 @@
         }
         let channel = self.channels.get_mut(&key).expect("known worker");
         if stuck > 0
-            && let Some(wait) = channel.fail(now.at, STUCK_WEIGHT)
+            && let Some(wait) = channel.record_failure(now.at, STUCK_WEIGHT)
         {
             let failures = channel.failures(now.at);
             self.note_avoided(state, key, failures, wait);
@@ -132,27 +132,27 @@
         number
     }
 
-    fn look(&mut self, now: Now, state: &State, key: WorkerKey) {
+    fn inspect(&mut self, now: Now, state: &State, key: WorkerKey) {
         let hold = self.bounds.hold;
         let channel = self.channels.get_mut(&key).expect("known worker");
         // An unresponsive worker may still receive orders. Its lease is not renewed, so
         // that its runs expire and can start elsewhere.
-        let until = if channel.is_silent(now.at) || channel.live().is_empty() {
+        let until = if channel.is_unresponsive(now.at) || channel.live().is_empty() {
             None
         } else {
             channel.lease_end(now.at, hold)
         };
         let is_idle = channel.live().is_empty();
         let wait = if channel.adopted && !is_idle && channel.unanswered_since.is_none() {
-            LOOK_WAIT
+            INSPECT_WAIT
         } else {
             Duration::ZERO
         };
         // An acknowledgement that the worker has replied to is not repeated: a later
         // incarnation under the same id numbers its ends from the start, and would drop
         // ends that were never read.
-        let seen = if channel.seen > channel.told_seen {
-            channel.seen
+        let seen = if channel.committed_end > channel.acknowledged_end {
+            channel.committed_end
         } else {
             0
         };
@@ -165,7 +165,7 @@
         };
         let number = self.order(now, state, key, sent, Work::Look { until, seen, wait });
         let channel = self.channels.get_mut(&key).expect("known worker");
-        channel.look = Some(number);
+        channel.inspection = Some(number);
     }
 
     pub(super) fn started(&mut self, now: Now, state: &State, start: Start) {
@@ -181,7 +181,7 @@
         let live = Live {
             run,
             ordered_at: now.at,
-            nature: nature(state, task, record.room.cpu),
+            traits: traits(state, task, record.room.cpu),
             ..Live::default()
         };
         let job = &state.jobs[&task.step.job];
@@ -190,11 +190,11 @@
         let wanted = state.is_wanted(worker, task, run);
         let until = channel.lease_end(now.at, self.bounds.hold);
         let (Some(until), true, false) = (until, wanted, place.gone) else {
-            self.void(state, worker, task, run, "not sent");
+            self.end_as_void(state, worker, task, run, "not sent");
             return;
         };
-        if channel.look.is_none() {
-            channel.look_at = channel.look_at.min(now.at + LOOK_AFTER_START);
+        if channel.inspection.is_none() {
+            channel.inspect_at = channel.inspect_at.min(now.at + INSPECT_AFTER_START);
         }
         let (_, _, found) = job.task(task).expect("wanted task");
         let work = Work::Start {
@@ -284,7 +284,7 @@
     }
 
     /// Ends a run that is certainly not on its worker.
-    pub(super) fn void(
+    pub(super) fn end_as_void(
         &mut self,
         state: &State,
         key: WorkerKey,
@@ -316,7 +316,7 @@
         });
     }
 
-    fn void_all(&mut self, key: WorkerKey, state: &State, by: &'static str) {
+    fn end_all_as_void(&mut self, key: WorkerKey, state: &State, by: &'static str) {
         let channel = &self.channels[&key];
         let runs: Vec<(TaskName, u32)> = channel
             .live()
@@ -332,7 +332,7 @@
             by,
         });
         for (task, run) in runs {
-            self.void(state, key, task, run, by);
+            self.end_as_void(state, key, task, run, by);
         }
     }
 
@@ -395,24 +395,24 @@
             let why = "start order may have reached a later incarnation";
             self.stop(now, state, new, task, live.run, why);
         }
-        self.void_all(old, state, "replacement by a later incarnation");
+        self.end_all_as_void(old, state, "replacement by a later incarnation");
     }
 
     /// Schedules the acknowledgement of a worker's committed ends.
-    pub(super) fn advance_seen(&mut self, now: Now, key: WorkerKey) {
+    pub(super) fn acknowledge_ends(&mut self, now: Now, key: WorkerKey) {
         let Some(channel) = self.channels.get_mut(&key) else {
             return;
         };
-        if channel.is_storing() || channel.seen >= channel.proposed {
+        if channel.has_uncommitted_ends() || channel.committed_end >= channel.proposed_end {
             return;
         }
-        channel.seen = channel.proposed;
+        channel.committed_end = channel.proposed_end;
         let delay = if channel.live().is_empty() {
-            TELL_SEEN_AFTER
+            ACKNOWLEDGE_DELAY
         } else {
             Duration::ZERO
         };
-        channel.look_at = channel.look_at.min(now.at + delay);
+        channel.inspect_at = channel.inspect_at.min(now.at + delay);
     }
 
     pub(super) fn registered(&mut self, now: Now, state: &State, id: &str) {
@@ -421,8 +421,8 @@
         };
         let worker = state.worker(key);
         let rack = self.rack(worker);
-        let fresh = Channel::new(now.at, now.at, rack);
-        self.channels.entry(key).or_insert(fresh);
+        let created = Channel::new(now.at, now.at, rack);
+        self.channels.entry(key).or_insert(created);
         let gone: Vec<WorkerKey> = state
             .live_workers()
             .filter(|(other, w)| {
@@ -448,7 +448,7 @@
 
     pub(super) fn departed(&mut self, _now: Now, state: &State, key: WorkerKey, by: &'static str) {
         if self.channels.contains_key(&key) {
-            self.void_all(key, state, by);
+            self.end_all_as_void(key, state, by);
         }
     }
 }
@@ -472,19 +472,19 @@
     } else {
         STUCK_MIN
     };
-    progress.standstill(now.at, LOOK_WAIT) > least.max(share)
+    progress.stalled_for(now.at, INSPECT_WAIT) > least.max(share)
 }
 
 /// Returns how a run affects the placement of other tasks on its worker.
-pub(super) fn nature(state: &State, task: TaskName, cpu: i64) -> Nature {
+pub(super) fn traits(state: &State, task: TaskName, cpu: i64) -> Traits {
     let Some(job) = state.jobs.get(&task.step.job) else {
-        return Nature::default();
+        return Traits::default();
     };
     let Some((spec, _)) = job.step(task.step) else {
-        return Nature::default();
+        return Traits::default();
     };
     let is_urgent = state.queue(job.queue).priority == 0;
-    Nature {
+    Traits {
         urgent_cpu: if is_urgent { cpu } else { 0 },
         serving: spec.target_ms > 0,
         filling: spec.filling,
--- a/src/core/plane/state.rs
+++ b/src/core/plane/state.rs
@@ -241,7 +241,7 @@
     }
 
     fn submit(&mut self, submission: Submission, queue: &str, account: Option<&str>, at_ms: u64) {
-        self.forget_ended(at_ms);
+        self.remove_expired(at_ms);
         if self.jobs.contains_key(&submission.id) {
             return;
         }
@@ -257,7 +257,7 @@
         self.jobs.insert(id, job);
     }
 
-    fn forget_ended(&mut self, at_ms: u64) {
+    fn remove_expired(&mut self, at_ms: u64) {
         while let Some(&(ended_ms, id)) = self.ended.front() {
             if ended_ms + RETENTION_MS > at_ms {
                 return;
@@ -335,11 +335,11 @@
                 self.account_use[account.0 as usize] -= record.need;
             }
         }
-        self.settle(end, at_ms);
+        self.apply_end(end, at_ms);
     }
 
     // Applies the end of a run to its task, gang and job.
-    fn settle(&mut self, end: End, at_ms: u64) {
+    fn apply_end(&mut self, end: End, at_ms: u64) {
         let id = end.task.step.job;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
--- a/src/core/plane/worker.rs
+++ b/src/core/plane/worker.rs
@@ -34,7 +34,7 @@
 
 impl Report {
     /// Returns whether two reports are equal apart from their sequence numbers.
-    pub fn says_same(&self, other: &Self) -> bool {
+    pub fn equals_except_sequence(&self, other: &Self) -> bool {
         Self {
             sequence: other.sequence,
             ..self.clone()
--- a/tests/absurd.rs
+++ b/tests/absurd.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn hand_in(cell: &mut Cell, submission: Submission) {
+fn submit(cell: &mut Cell, submission: Submission) {
     let path = format!("/batch/{}", submission.id);
     cell.request(&path, Action::Submit(Box::new(submission)));
     cell.run_for(500);
@@ -46,39 +46,39 @@
             };
             let change: fn(&mut Submission) = $change;
             change(&mut submission);
-            hand_in(&mut cell, submission);
+            submit(&mut cell, submission);
             assert_serves(&mut cell);
         })*
     };
 }
 
 submissions! {
-    a_need_beyond_all_workers: |s| s.steps[0].need = all(i64::MAX);
-    a_need_below_nothing: |s| s.steps[0].need = all(i64::MIN);
-    no_need_at_all: |s| s.steps[0].need = all(0);
-    an_endless_estimate: |s| s.steps[0].estimate_ms = u64::MAX;
-    a_chain_of_endless_estimates: |s| {
+    a_need_beyond_all_workers: |s| s.steps[0].need = uniform(i64::MAX);
+    a_negative_need: |s| s.steps[0].need = uniform(i64::MIN);
+    a_need_of_zero: |s| s.steps[0].need = uniform(0);
+    an_extreme_estimate: |s| s.steps[0].estimate_ms = u64::MAX;
+    a_chain_of_extreme_estimates: |s| {
         s.steps[0].estimate_ms = u64::MAX;
         let next = StepSpec { after: vec![0], ..s.steps[0].clone() };
         s.steps.push(next);
     };
-    as_many_tasks_as_can_be: |s| s.steps[0].count = u16::MAX;
-    as_many_occurrences_as_can_be: |s| { s.repeat = u32::MAX; s.every_ms = 1; };
-    a_due_time_at_the_end_of_time: |s| { s.repeat = 3; s.first_ms = u64::MAX; s.every_ms = 1; };
-    an_endless_interval: |s| { s.repeat = 3; s.first_ms = 1; s.every_ms = u64::MAX; };
+    the_maximum_number_of_tasks: |s| s.steps[0].count = u16::MAX;
+    the_maximum_number_of_occurrences: |s| { s.repeat = u32::MAX; s.every_ms = 1; };
+    the_latest_due_time: |s| { s.repeat = 3; s.first_ms = u64::MAX; s.every_ms = 1; };
+    an_extreme_interval: |s| { s.repeat = 3; s.first_ms = 1; s.every_ms = u64::MAX; };
     a_gang_beyond_all_workers: |s| {
         s.steps[0].gang = true;
         s.steps[0].count = u16::MAX;
-        s.steps[0].need = all(i64::MAX / 2);
+        s.steps[0].need = uniform(i64::MAX / 2);
     };
-    endless_lasting_work: |s| {
+    extreme_long_running_tasks: |s| {
         s.steps[0].lasting = true;
         s.steps[0].target_ms = u64::MAX;
         s.steps[0].may_miss = u16::MAX;
     };
 }
 
-const fn all(amount: i64) -> Amount {
+const fn uniform(amount: i64) -> Amount {
     Amount {
         cpu: amount,
         memory: amount,
@@ -112,11 +112,11 @@
 }
 
 reports! {
-    an_endless_capacity: |r| r.capacity = all(i64::MAX);
-    a_capacity_below_nothing: |r| r.capacity = all(i64::MIN);
-    born_at_the_end_of_time: |r| r.born_ms = u64::MAX;
-    born_at_the_beginning_of_time: |r| r.born_ms = 0;
-    a_last_sequence: |r| r.sequence = u64::MAX;
-    no_name_at_all: |r| { r.id = String::new(); r.address = String::new(); };
-    an_address_that_is_none: |r| r.address = "nowhere".to_owned();
+    an_extreme_capacity: |r| r.capacity = uniform(i64::MAX);
+    a_negative_capacity: |r| r.capacity = uniform(i64::MIN);
+    the_latest_birth: |r| r.born_ms = u64::MAX;
+    the_earliest_birth: |r| r.born_ms = 0;
+    the_last_sequence_number: |r| r.sequence = u64::MAX;
+    an_empty_id: |r| { r.id = String::new(); r.address = String::new(); };
+    an_invalid_address: |r| r.address = "nowhere".to_owned();
 }
--- a/tests/plane.rs
+++ b/tests/plane.rs
@@ -8,7 +8,7 @@
 use plantaincross::core::plane::job::{Standing, StepSpec};
 use plantaincross::core::plane::plan::Permission;
 use plantaincross::core::plane::types::{Amount, JobId, StepName};
-use support::{Cell, Trouble, queue, tasks};
+use support::{Cell, Faults, queue, tasks};
 
 const SLOW: Permission = Permission {
     decide_ms: 410.0,
@@ -32,7 +32,7 @@
     cell
 }
 
-fn gang(count: u16, cores: i64, ms: u64) -> StepSpec {
+fn independent_tasks(count: u16, cores: i64, ms: u64) -> StepSpec {
     StepSpec {
         gang: false,
         ..tasks(count, cores, ms)
@@ -54,7 +54,10 @@
 fn schedule(seed: u64) {
     let _seed = Seed(seed);
     let mut cell = cell(seed, 6);
-    cell.trouble = Trouble { late: 20, lost: 20 };
+    cell.faults = Faults {
+        delayed_per_mille: 20,
+        lost_per_mille: 20,
+    };
     let mut next = 1;
     for second in 0..12_u64 {
         for _ in 0..6 {
@@ -93,8 +96,8 @@
         let at = cell.draw(6) as usize;
         match cell.draw(7) {
             0 => cell.take_over(),
-            1 => cell.workers[at].cut_until = cell.now + 1_000 + second * 700,
-            2 => cell.workers[at].mute_until = cell.now + 500 + second * 300,
+            1 => cell.workers[at].unreachable_until = cell.now + 1_000 + second * 700,
+            2 => cell.workers[at].replies_lost_until = cell.now + 500 + second * 300,
             3 => {
                 cell.crash(at);
                 let id = format!("x{second}");
@@ -105,7 +108,7 @@
             _ => {}
         }
     }
-    cell.trouble = Trouble::default();
+    cell.faults = Faults::default();
     // Crashes may leave only workers without permission for some step. Of these six
     // workers, each step has permission for four, two of either label.
     for at in 0..6 {
@@ -168,9 +171,9 @@
 }
 
 #[test]
-fn a_worker_that_fails_all_gets_little() {
+fn a_failing_worker_gets_few_starts() {
     let mut cell = cell(3, 6);
-    cell.workers[2].fails_all = true;
+    cell.workers[2].always_fails = true;
     for id in 1..=120 {
         cell.submit("batch", id, vec![tasks(2, 2, 300)], 300);
         cell.run_for(50);
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn gangs_that_cannot_start_do_not_ask_again_and_again() {
+fn gangs_that_cannot_start_send_few_permission_requests() {
     let mut cell = cell(5, 12);
     for id in 1..=40 {
         let step = StepSpec {
@@ -239,9 +242,9 @@
         cell.submit("gang", id, vec![step], 60_000);
     }
     cell.run_for(3_000);
-    let before = cell.questions;
+    let before = cell.permission_requests;
     cell.run_for(10_000);
-    let more = cell.questions - before;
+    let more = cell.permission_requests - before;
     assert!(
         more <= 40,
         "{more} permission requests for gangs that do not fit"
@@ -253,7 +256,7 @@
     let mut cell = cell(6, 6);
     let step = StepSpec {
         gang: true,
-        ..gang(6, 9, 800)
+        ..independent_tasks(6, 9, 800)
     };
     cell.submit("gang", 1, vec![step], 800);
     cell.run_for(3_000);
@@ -294,9 +297,9 @@
 #[test]
 fn an_unreachable_worker_breaks_few_gangs() {
     let mut cell = cell(8, 12);
-    cell.workers[3].cut_until = cell.now + 20_000;
-    cell.workers[4].cut_until = cell.now + 20_000;
-    cell.refuse_cut = true;
+    cell.workers[3].unreachable_until = cell.now + 20_000;
+    cell.workers[4].unreachable_until = cell.now + 20_000;
+    cell.refuses_connections = true;
     for id in 1..=30 {
         let step = StepSpec {
             gang: true,
@@ -314,10 +317,10 @@
 // At most one in forty gangs of eight tasks may fail on twelve workers of which two fail
 // half of their runs.
 #[test]
-fn gangs_finish_beside_workers_that_fail_a_part() {
+fn gangs_complete_beside_partly_failing_workers() {
     let mut cell = cell(9, 12);
-    cell.workers[1].fails_some = 50;
-    cell.workers[7].fails_some = 50;
+    cell.workers[1].failure_percent = 50;
+    cell.workers[7].failure_percent = 50;
     for id in 1..=40 {
         let step = StepSpec {
             gang: true,
@@ -339,7 +342,7 @@
     const RUN_MS: u64 = 1_500;
     // The response-time goal is 1.5 run times plus 250 ms; a gang still has value up to
     // three times that.
-    const WAIT_MAX: u64 = 3 * (RUN_MS * 3 / 2 + 250) - RUN_MS;
+    const WAIT_MAX_MS: u64 = 3 * (RUN_MS * 3 / 2 + 250) - RUN_MS;
     let mut cell = cell(11, 48);
     let mut sent = Vec::new();
     let mut next = 1_000;
@@ -369,7 +372,7 @@
         };
         let wait = cell.first_start.get(&step).map(|at| at - sent);
         assert!(
-            wait.is_some_and(|wait| wait <= WAIT_MAX),
+            wait.is_some_and(|wait| wait <= WAIT_MAX_MS),
             "gang {id} waits for {wait:?} ms"
         );
     }
@@ -383,7 +386,7 @@
     const GANGS: u64 = 60;
     const RUN_MS: u64 = 3_000;
     // The response-time goal is 1.5 run times plus 250 ms.
-    const WAIT_MAX: u64 = RUN_MS / 2 + 250;
+    const WAIT_MAX_MS: u64 = RUN_MS / 2 + 250;
     let mut cell = cell(14, 120);
     cell.is_strict = true;
     cell.askers = 40;
@@ -419,7 +422,7 @@
         })
         .collect();
     waits.sort_unstable();
-    let in_time = waits.iter().filter(|wait| **wait <= WAIT_MAX).count() as u64;
+    let in_time = waits.iter().filter(|wait| **wait <= WAIT_MAX_MS).count() as u64;
     assert!(in_time * 10 >= GANGS * 9, "waits of gangs: {waits:?} ms");
 }
 
@@ -468,10 +471,10 @@
 // Many gangs wait for permits while no instance can request any. The leader must not work
 // out their requests over and over, which would delay jobs that need no permit.
 #[test]
-fn gangs_that_nobody_asks_for_hold_up_no_others() {
+fn gangs_without_permits_do_not_delay_other_jobs() {
     const GANGS: u64 = 200;
     // Fixed part of the shortest response-time goal.
-    const WAIT_MAX: u64 = 250;
+    const WAIT_MAX_MS: u64 = 250;
     let mut cell = cell(15, 350);
     cell.askers = 0;
     cell.take_over();
@@ -488,7 +491,7 @@
     for id in GANGS + 1..=GANGS + 40 {
         let sent = cell.now;
         cell.submit("batch", id, vec![tasks(1, 8, 1_000)], 1_000);
-        cell.run_for(WAIT_MAX);
+        cell.run_for(WAIT_MAX_MS);
         let step = StepName {
             job: JobId(id),
             ..StepName::default()
@@ -498,7 +501,7 @@
     assert!(waits.iter().all(Option::is_some), "waits: {waits:?} ms");
 }
 
-fn finish_all(cell: &mut Cell, jobs: u64, ms: u64) -> Vec<u64> {
+fn run_jobs(cell: &mut Cell, jobs: u64, ms: u64) -> Vec<u64> {
     let mut sent = Vec::new();
     for id in 1..=jobs {
         sent.push(cell.now);
@@ -522,12 +525,12 @@
 
 // The event log must hold the outcome of every job under its id.
 #[test]
-fn every_end_of_a_job_has_a_line() {
+fn every_job_end_is_logged() {
     let mut cell = cell(16, 6);
     for worker in &mut cell.workers {
-        worker.fails_some = 50;
+        worker.failure_percent = 50;
     }
-    finish_all(&mut cell, 60, 500);
+    run_jobs(&mut cell, 60, 500);
     cell.run_for(30_000);
     let standing = |job: &JobId| cell.state.jobs[job].standing;
     let jobs: Vec<JobId> = (1..=60).map(JobId).collect();
@@ -535,16 +538,16 @@
         assert!(jobs.iter().any(|job| standing(job) == expected));
     }
     for job in &jobs {
-        let line = cell.job_lines.get(&job.to_string());
+        let line = cell.job_outcomes.get(&job.to_string());
         assert_eq!(line, Some(&standing(job)), "{job}");
     }
 }
 
 #[test]
-fn tasks_that_stand_still_are_moved() {
+fn stuck_tasks_are_restarted_elsewhere() {
     let mut cell = cell(10, 6);
-    cell.workers[2].hangs = true;
-    let took = finish_all(&mut cell, 100, 1_000);
+    cell.workers[2].stalls = true;
+    let took = run_jobs(&mut cell, 100, 1_000);
     let worst = took[took.len() - 1];
     assert!(
         worst <= 5_500,
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -12,7 +12,7 @@
 const WORKERS: usize = 4;
 const RUN_MS: u64 = 9_000;
 
-fn busy(seed: u64, step: StepSpec) -> Cell {
+fn cell_with_job(seed: u64, step: StepSpec) -> Cell {
     let queues = vec![queue("batch", 2, None)];
     let mut cell = Cell::new(seed, WORKERS, queues, Amount::default());
     cell.run_for(100);
@@ -33,14 +33,14 @@
     assert!(cell.completed.contains_key(&JobId(1)));
 }
 
-macro_rules! silences {
-    ($($name:ident: $step:expr, $silence:expr;)*) => {
+macro_rules! interruptions {
+    ($($name:ident: $step:expr, $interrupt:expr;)*) => {
         $(#[test] fn $name() {
             let step: StepSpec = $step;
             let count = u64::from(step.count);
-            let mut cell = busy(1, step);
-            let silence: fn(&mut Cell) = $silence;
-            silence(&mut cell);
+            let mut cell = cell_with_job(1, step);
+            let interrupt: fn(&mut Cell) = $interrupt;
+            interrupt(&mut cell);
             assert_ran_once(cell, count);
         })*
     };
@@ -55,28 +55,28 @@
 
 // The lease of 6 s outlasts each of these interruptions, in which two to three inspections,
 // one per second, are missed.
-silences! {
+interruptions! {
     cut_off_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
-        cell.workers[0].cut_until = cell.now + 4_000;
+        cell.workers[0].unreachable_until = cell.now + 4_000;
     };
     answers_lost_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
-        cell.workers[0].mute_until = cell.now + 4_000;
+        cell.workers[0].replies_lost_until = cell.now + 4_000;
     };
     all_cut_off_at_once: tasks(8, 4, RUN_MS), |cell| {
         for at in 0..WORKERS {
-            cell.workers[at].cut_until = cell.now + 4_000;
+            cell.workers[at].unreachable_until = cell.now + 4_000;
         }
     };
     a_gang_cut_off: gang(), |cell| {
-        cell.workers[0].cut_until = cell.now + 4_000;
+        cell.workers[0].unreachable_until = cell.now + 4_000;
     };
     cut_off_twice: tasks(8, 4, RUN_MS), |cell| {
-        cell.workers[0].cut_until = cell.now + 2_900;
+        cell.workers[0].unreachable_until = cell.now + 2_900;
         cell.run_for(3_300);
-        cell.workers[0].cut_until = cell.now + 2_900;
+        cell.workers[0].unreachable_until = cell.now + 2_900;
     };
     cut_off_around_a_take_over: tasks(8, 4, RUN_MS), |cell| {
-        cell.workers[0].cut_until = cell.now + 4_000;
+        cell.workers[0].unreachable_until = cell.now + 4_000;
         cell.run_for(1_500);
         cell.take_over();
     };
--- a/tests/support/plane.rs
+++ b/tests/support/plane.rs
@@ -23,16 +23,16 @@
 /// Time from proposing a command to its commit.
 const COMMIT_MS: u64 = 12;
 /// One-way network delay.
-const WAY_MS: u64 = 2;
+const NETWORK_DELAY_MS: u64 = 2;
 /// Clock reading at the start of the simulation.
 const START_MS: u64 = 5_000_000;
 /// Initial number of instances that can query the permission service.
-const ASKERS: u64 = 13;
+const REQUESTERS: u64 = 13;
 /// Maximum time by which an occurrence may start before it is due, as promised to users.
 const EARLY_MAX_MS: u64 = 250;
 /// Time after the confirmation of its draining report in which a worker may still get
 /// runs, as promised to users.
-const DRAIN_MS: u64 = 2_000;
+const DRAIN_GRACE_MS: u64 = 2_000;
 pub const BOUNDS: Bounds = Bounds {
     hold: Duration::from_millis(6_000),
     stop: Duration::from_millis(200),
@@ -54,14 +54,14 @@
     pub report: Report,
     pub up: bool,
     /// Messages in both directions are lost until this time.
-    pub cut_until: u64,
+    pub unreachable_until: u64,
     /// Replies are lost until this time.
-    pub mute_until: u64,
-    pub fails_all: bool,
+    pub replies_lost_until: u64,
+    pub always_fails: bool,
     /// Percentage of runs that fail.
-    pub fails_some: u64,
+    pub failure_percent: u64,
     /// Whether runs make no progress.
-    pub hangs: bool,
+    pub stalls: bool,
     /// Call that reported draining.
     drain_call: Option<u64>,
     drained_at: Option<u64>,
@@ -70,12 +70,12 @@
     born_at: u64,
     runs: BTreeMap<TaskName, Running>,
     /// Time before which no run ends by itself.
-    quiet_until: u64,
-    barred: BTreeMap<TaskName, u32>,
+    idle_until: u64,
+    last_ended: BTreeMap<TaskName, u32>,
     ended: Vec<EndRow>,
     next_end: u64,
     /// Number of the latest end at the time of the last lease expiry.
-    lapsed_to: u64,
+    expired_through: u64,
     pub starts: u64,
 }
 
@@ -93,8 +93,8 @@
 
     fn end(&mut self, task: TaskName, run: u32, how: How) {
         self.runs.remove(&task);
-        let barred = self.barred.entry(task).or_insert(0);
-        *barred = (*barred).max(run);
+        let last_ended = self.last_ended.entry(task).or_insert(0);
+        *last_ended = (*last_ended).max(run);
         self.next_end += 1;
         self.ended.push(EndRow {
             number: self.next_end,
@@ -121,11 +121,11 @@
 
 /// Rates of injected faults.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct Faults {
     /// Orders per thousand that are not answered and carried out 2 to 12 s later.
-    pub late: u32,
+    pub delayed_per_mille: u32,
     /// Replies per thousand that are lost.
-    pub lost: u32,
+    pub lost_per_mille: u32,
 }
 
 pub struct Cell {
@@ -134,20 +134,20 @@
     pub lead: Option<Lead>,
     pub term: u64,
     pub workers: Vec<FakeWorker>,
-    pub trouble: Trouble,
+    pub faults: Faults,
     /// Whether connections to unreachable workers fail at once.
-    pub refuse_cut: bool,
+    pub refuses_connections: bool,
     pub answers: BTreeMap<u64, Answer>,
     /// Time at which each job was first seen as completed.
     pub completed: BTreeMap<JobId, u64>,
-    pub questions: u64,
+    pub permission_requests: u64,
     /// Number of instances that can query the permission service, from the next leader
     /// on.
     pub askers: u64,
     /// Whether one worker in three may run a step instead of two in three.
     pub is_strict: bool,
     /// Total time that the permission service spent on requests, in milliseconds.
-    pub asked_ms: f64,
+    pub permission_ms: f64,
     pub first_start: BTreeMap<StepName, u64>,
     /// Long-running tasks that are not on a worker, with the time since when.
     pub away: BTreeMap<TaskName, u64>,
@@ -160,7 +160,7 @@
     /// Number of runs that were stopped by an order.
     pub stops: u64,
     /// Outcome in the log event of each ended job.
-    pub job_lines: BTreeMap<String, Standing>,
+    pub job_outcomes: BTreeMap<String, Standing>,
     events: BTreeMap<(u64, u64), Event>,
     open: BTreeSet<u64>,
     sequence: u64,
@@ -169,14 +169,14 @@
     has_applied: bool,
     asker_free: BTreeMap<u64, u64>,
     rng: ChaCha8Rng,
-    done_noted: BTreeSet<TaskName>,
-    failed_noted: BTreeMap<TaskName, u32>,
+    acknowledged_done: BTreeSet<TaskName>,
+    committed_failures: BTreeMap<TaskName, u32>,
     sizes: BTreeMap<JobId, Vec<StepSpec>>,
     durations: BTreeMap<JobId, u64>,
     /// First due time and interval of repeating jobs.
     due: BTreeMap<JobId, (u64, u64)>,
     /// Call that submitted each job.
-    handed: BTreeMap<JobId, u64>,
+    submit_calls: BTreeMap<JobId, u64>,
     cancelled: BTreeSet<JobId>,
 }
 
@@ -204,21 +204,21 @@
             lead: None,
             term: 0,
             workers: Vec::new(),
-            trouble: Trouble::default(),
-            refuse_cut: false,
+            faults: Faults::default(),
+            refuses_connections: false,
             answers: BTreeMap::new(),
             completed: BTreeMap::new(),
-            questions: 0,
-            askers: ASKERS,
+            permission_requests: 0,
+            askers: REQUESTERS,
             is_strict: false,
-            asked_ms: 0.0,
+            permission_ms: 0.0,
             first_start: BTreeMap::new(),
             away: BTreeMap::new(),
             gaps: Vec::new(),
             had_by: BTreeMap::new(),
             started: BTreeSet::new(),
             stops: 0,
-            job_lines: BTreeMap::new(),
+            job_outcomes: BTreeMap::new(),
             events: BTreeMap::new(),
             open: BTreeSet::new(),
             sequence: 0,
@@ -226,12 +226,12 @@
             has_applied: false,
             asker_free: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            done_noted: BTreeSet::new(),
-            failed_noted: BTreeMap::new(),
+            acknowledged_done: BTreeSet::new(),
+            committed_failures: BTreeMap::new(),
             sizes: BTreeMap::new(),
             durations: BTreeMap::new(),
             due: BTreeMap::new(),
-            handed: BTreeMap::new(),
+            submit_calls: BTreeMap::new(),
             cancelled: BTreeSet::new(),
         };
         cell.state.apply(Command::Configure {
@@ -282,22 +282,22 @@
         self.workers.push(FakeWorker {
             report: report.clone(),
             up: true,
-            cut_until: 0,
-            mute_until: 0,
-            fails_all: false,
-            fails_some: 0,
-            hangs: false,
+            unreachable_until: 0,
+            replies_lost_until: 0,
+            always_fails: false,
+            failure_percent: 0,
+            stalls: false,
             drain_call: None,
             drained_at: None,
             fence: 0,
             deadline: 0,
             born_at: self.now,
             runs: BTreeMap::new(),
-            quiet_until: 0,
-            barred: BTreeMap::new(),
+            idle_until: 0,
+            last_ended: BTreeMap::new(),
             ended: Vec::new(),
             next_end: 0,
-            lapsed_to: 0,
+            expired_through: 0,
             starts: 0,
         });
         self.query(Query::Report(Box::new(report)));
@@ -326,13 +326,13 @@
         }
         self.open.clear();
         self.term += 1;
-        let mut lead = Lead::new(self.present(), self.term, BOUNDS, &self.state);
+        let mut lead = Lead::new(self.current_time(), self.term, BOUNDS, &self.state);
         let askers: Vec<InstanceId> = (1..=self.askers).map(InstanceId).collect();
         lead.set_askers(&askers);
         self.lead = Some(lead);
     }
 
-    fn present(&self) -> Now {
+    fn current_time(&self) -> Now {
         Now {
             at: Moment::from_millis(self.now),
             wall_ms: self.now,
@@ -347,7 +347,7 @@
     pub fn query(&mut self, query: Query) -> u64 {
         self.next_call += 1;
         let call = self.next_call;
-        let now = self.present();
+        let now = self.current_time();
         if let Some(lead) = &mut self.lead {
             let effects = lead.ask(now, &self.state, Call(call), query);
             self.carry_out(effects);
@@ -408,7 +408,7 @@
         }
         let path = format!("/{queue}/{id}");
         let call = self.request(&path, Action::Submit(Box::new(submission)));
-        self.handed.insert(id, call);
+        self.submit_calls.insert(id, call);
     }
 
     /// Has a worker report that it drains.
@@ -442,7 +442,7 @@
             let event = self.events.remove(&(at, sequence)).expect("first");
             self.take(event);
         }
-        let now = self.present();
+        let now = self.current_time();
         if let Some(lead) = &mut self.lead
             && self.now.is_multiple_of(5)
         {
@@ -486,25 +486,31 @@
             .workers
             .iter()
             .position(|w| w.report.address == order.address);
-        if self.refuse_cut && at.is_some_and(|at| !self.reaches(at)) {
-            self.schedule(WAY_MS, Event::Answer(key, Reply::NotSent));
+        if self.refuses_connections && at.is_some_and(|at| !self.reaches(at)) {
+            self.schedule(NETWORK_DELAY_MS, Event::Answer(key, Reply::NotSent));
             return;
         }
-        let mut life = None;
-        let delay = if self.rng.random_ratio(self.trouble.late.min(1_000), 1_000) {
+        let mut incarnation = None;
+        let delay = if self
+            .rng
+            .random_ratio(self.faults.delayed_per_mille.min(1_000), 1_000)
+        {
             self.open.remove(&key);
             self.schedule(timeout, Event::Answer(key, Reply::NoAnswer));
             self.open.insert(key);
             // An order does not name the incarnation that it is meant for. Had a delayed
             // order reached a later incarnation, no leader could prevent the harm, so it
             // is dropped instead.
-            life = state_life(&self.state, &order.worker);
+            incarnation = current_incarnation(&self.state, &order.worker);
             self.rng.random_range(2_000..12_000)
         } else {
-            WAY_MS
+            NETWORK_DELAY_MS
         };
         if let Some(at) = at {
-            self.schedule(delay, Event::Arrive(Box::new(order), at as u64, life));
+            self.schedule(
+                delay,
+                Event::Arrive(Box::new(order), at as u64, incarnation),
+            );
         }
     }
 
@@ -514,21 +520,21 @@
                 let is_known = self.state.worker_keys.contains_key(&worker);
                 assert!(is_known, "the log names the unknown worker {worker}");
             }
-            Note::JobCompleted { job, .. } => self.note_job(&job, Standing::Completed),
-            Note::JobFailed { job, .. } => self.note_job(&job, Standing::Failed),
+            Note::JobCompleted { job, .. } => self.record_job_outcome(&job, Standing::Completed),
+            Note::JobFailed { job, .. } => self.record_job_outcome(&job, Standing::Failed),
             _ => {}
         }
     }
 
-    fn note_job(&mut self, job: &str, standing: Standing) {
-        let before = self.job_lines.insert(job.to_owned(), standing);
+    fn record_job_outcome(&mut self, job: &str, standing: Standing) {
+        let before = self.job_outcomes.insert(job.to_owned(), standing);
         assert_eq!(before, None, "the end of job {job} was logged twice");
     }
 
     fn ask(&mut self, asker: u64, question: &Question) {
         let cost = self.cost(question);
-        self.questions += 1;
-        self.asked_ms += cost as f64;
+        self.permission_requests += 1;
+        self.permission_ms += cost as f64;
         let free = self
             .asker_free
             .get(&asker)
@@ -541,10 +547,10 @@
         let granted = question
             .workers
             .iter()
-            .filter(|id| is_good(question.step, id) != self.is_strict)
+            .filter(|id| is_permitted(question.step, id) != self.is_strict)
             .map(|id| (id.clone(), "permit".to_owned()))
             .collect();
-        let after = free - self.now + 2 * WAY_MS;
+        let after = free - self.now + 2 * NETWORK_DELAY_MS;
         let event = Event::Permit(self.term, question.number, Permission::Granted(granted));
         self.schedule(after, event);
     }
@@ -557,16 +563,16 @@
     }
 
     fn take(&mut self, event: Event) {
-        let now = self.present();
+        let now = self.current_time();
         match event {
-            Event::Arrive(order, at, life) => {
+            Event::Arrive(order, at, incarnation) => {
                 let at = at as usize;
-                if life.is_none_or(|born| born == self.workers[at].report.born_ms) {
-                    self.arrive(&order, at, life.is_some());
+                if incarnation.is_none_or(|born| born == self.workers[at].report.born_ms) {
+                    self.arrive(&order, at, incarnation.is_some());
                 }
             }
-            Event::Look(order, at, life) => {
-                if life == self.workers[at as usize].born_at {
+            Event::Look(order, at, incarnation) => {
+                if incarnation == self.workers[at as usize].born_at {
                     self.answer_look(&order, at as usize);
                 }
             }
@@ -582,7 +588,7 @@
             }
             Event::Timeout(key) => self.take(Event::Answer(key, Reply::NoAnswer)),
             Event::Commit(term, command, answers) => {
-                self.note_ends(&command);
+                self.record_failures(&command);
                 self.state.apply((*command).clone());
                 self.has_applied = true;
                 for (call, answer) in answers {
@@ -606,11 +612,11 @@
         }
     }
 
-    fn note_ends(&mut self, command: &Command) {
+    fn record_failures(&mut self, command: &Command) {
         if let Command::Progress { ends, .. } = command {
             for end in ends {
                 if end.how == How::Failed {
-                    *self.failed_noted.entry(end.task).or_insert(0) += 1;
+                    *self.committed_failures.entry(end.task).or_insert(0) += 1;
                 }
             }
         }
@@ -618,17 +624,19 @@
 
     fn reaches(&self, at: usize) -> bool {
         let worker = &self.workers[at];
-        worker.up && self.now >= worker.cut_until
+        worker.up && self.now >= worker.unreachable_until
     }
 
     fn reply(&mut self, order: &Order, at: usize, reply: Reply) {
         let worker = &self.workers[at];
-        let is_lost = self.rng.random_ratio(self.trouble.lost.min(1_000), 1_000);
-        if is_lost || self.now < worker.mute_until || self.now < worker.cut_until {
+        let is_lost = self
+            .rng
+            .random_ratio(self.faults.lost_per_mille.min(1_000), 1_000);
+        if is_lost || self.now < worker.replies_lost_until || self.now < worker.unreachable_until {
             return;
         }
         let key = order.number + (order.fence << 40);
-        self.schedule(WAY_MS, Event::Answer(key, reply));
+        self.schedule(NETWORK_DELAY_MS, Event::Answer(key, reply));
     }
 
     fn arrive(&mut self, order: &Order, at: usize, is_late: bool) {
@@ -651,7 +659,7 @@
                 // The leader does not control when a delayed order arrives.
                 let drained = worker.drained_at.filter(|_| !is_late);
                 assert!(
-                    drained.is_none_or(|drained| self.now <= drained + DRAIN_MS),
+                    drained.is_none_or(|drained| self.now <= drained + DRAIN_GRACE_MS),
                     "{task} starts on {} while it drains",
                     order.worker
                 );
@@ -663,8 +671,8 @@
                 self.reply(order, at, reply);
             }
             Work::Stop { task, run } if !fenced => {
-                let barred = worker.barred.entry(*task).or_insert(0);
-                *barred = (*barred).max(*run);
+                let last_ended = worker.last_ended.entry(*task).or_insert(0);
+                *last_ended = (*last_ended).max(*run);
                 if worker.runs.get(task).is_some_and(|r| r.run <= *run) {
                     let found = worker.runs[task].run;
                     worker.end(*task, found, How::Stopped);
@@ -680,8 +688,8 @@
                 // An end that preceded a lease expiry may be unknown to the leader when
                 // it is acknowledged.
                 for end in worker.ended.iter().filter(|e| e.number <= *seen) {
-                    if end.how == How::Done && end.number > worker.lapsed_to {
-                        self.done_noted.insert(end.task);
+                    if end.how == How::Done && end.number > worker.expired_through {
+                        self.acknowledged_done.insert(end.task);
                     }
                 }
                 worker.ended.retain(|end| end.number > *seen);
@@ -730,9 +738,9 @@
             return Reply::Done(clock);
         }
         if worker
-            .barred
+            .last_ended
             .get(&task)
-            .is_some_and(|&barred| run <= barred)
+            .is_some_and(|&last_ended| run <= last_ended)
         {
             return Reply::Declined(Declined::Old);
         }
@@ -753,10 +761,10 @@
             elsewhere.expect("found").report.id
         );
         assert!(
-            !self.done_noted.contains(&task),
+            !self.acknowledged_done.contains(&task),
             "{task} starts after its end was acknowledged"
         );
-        let failed = self.failed_noted.get(&task).copied().unwrap_or(0);
+        let failed = self.committed_failures.get(&task).copied().unwrap_or(0);
         assert!(
             spec.lasting || failed < 3,
             "{task} starts after {failed} failures"
@@ -781,7 +789,7 @@
                 "{task} starts too early; it is due at {due} ms"
             );
         }
-        let handed = &self.handed[&task.step.job];
+        let handed = &self.submit_calls[&task.step.job];
         let refused = matches!(self.answers.get(handed), Some(Answer::Unavailable { .. }));
         assert!(!refused, "{task} starts although its job was refused");
         let cap = self.state.accounts[0].cap;
@@ -801,27 +809,27 @@
         if let Some(since) = self.away.remove(&task) {
             self.gaps.push((task, self.now - since));
         }
-        let unlucky = self.rng.random_range(0..100) < self.workers[at].fails_some;
+        let fails_at_random = self.rng.random_range(0..100) < self.workers[at].failure_percent;
         // One in ten long-running tasks fails after its run time.
-        let fails_later = spec.lasting && task.index.is_multiple_of(10);
-        let lasts = spec.lasting && !fails_later;
+        let fails_at_end = spec.lasting && task.index.is_multiple_of(10);
+        let lasts = spec.lasting && !fails_at_end;
         let worker = &mut self.workers[at];
         worker.deadline = worker.deadline.max(until);
         worker.starts += 1;
-        worker.quiet_until = 0;
+        worker.idle_until = 0;
         worker.runs.insert(
             task,
             Running {
                 run,
                 began: self.now,
-                ends: if worker.hangs || lasts {
+                ends: if worker.stalls || lasts {
                     u64::MAX / 2
-                } else if worker.fails_all {
+                } else if worker.always_fails {
                     self.now + 50
                 } else {
                     self.now + ms
                 },
-                fails: worker.fails_all || unlucky || fails_later,
+                fails: worker.always_fails || fails_at_random || fails_at_end,
                 room: spec.room(),
             },
         );
@@ -850,11 +858,11 @@
     fn run_workers(&mut self) {
         let now = self.now;
         let mut ended = Vec::new();
-        let due = |w: &&mut FakeWorker| w.up && now >= w.quiet_until;
+        let due = |w: &&mut FakeWorker| w.up && now >= w.idle_until;
         for worker in self.workers.iter_mut().filter(due) {
             let clock = worker.clock(now);
             if clock > worker.deadline {
-                worker.lapsed_to = worker.next_end;
+                worker.expired_through = worker.next_end;
             }
             let over: Vec<(TaskName, u32, How)> = worker
                 .runs
@@ -879,7 +887,7 @@
             // expiry no earlier than an exact one, so nothing ends before this time.
             let first = worker.runs.values().map(|r| r.ends).min();
             let lapse = now + worker.deadline.saturating_sub(clock);
-            worker.quiet_until = first.map_or(lapse, |ends| ends.min(lapse)).max(now + 1);
+            worker.idle_until = first.map_or(lapse, |ends| ends.min(lapse)).max(now + 1);
         }
         for task in ended {
             self.note_away(task);
@@ -913,10 +921,10 @@
         self.drop_runs(at);
         let worker = &mut self.workers[at];
         worker.up = true;
-        worker.barred.clear();
+        worker.last_ended.clear();
         worker.ended.clear();
         worker.next_end = 0;
-        worker.lapsed_to = 0;
+        worker.expired_through = 0;
         worker.fence = 0;
         worker.deadline = 0;
         worker.born_at = now;
@@ -948,7 +956,7 @@
     /// Returns the accepted jobs that are neither completed nor cancelled.
     pub fn unfinished(&self) -> Vec<JobId> {
         let is_accepted = |id: &JobId| {
-            let answer = self.answers.get(&self.handed[id]);
+            let answer = self.answers.get(&self.submit_calls[id]);
             answer == Some(&Answer::Done) || self.state.jobs.contains_key(id)
         };
         self.sizes
@@ -981,12 +989,12 @@
     }
 }
 
-fn state_life(state: &State, worker: &str) -> Option<u64> {
+fn current_incarnation(state: &State, worker: &str) -> Option<u64> {
     let key = state.worker_keys.get(worker)?;
     Some(state.worker(*key).report.born_ms)
 }
 
-fn is_good(step: StepName, worker: &str) -> bool {
+fn is_permitted(step: StepName, worker: &str) -> bool {
     let sum: u64 = worker.bytes().map(u64::from).sum::<u64>() + step.job.0 + u64::from(step.step);
     !sum.is_multiple_of(3)
 }
