--- a/src/core/plane/lead/channel.rs
+++ b/src/core/plane/lead/channel.rs
@@ -138,7 +138,7 @@
     pub lease_until: u64,
     /// Time by which all runs ordered by earlier leaders have ended, unless their leases
     /// were renewed.
-    pub lapse_by: Moment,
+    pub all_ended_by: Moment,
     /// Number of the latest end up to which all ends are committed.
     pub committed_end: u64,
     /// Number up to which the worker knows its ends to be committed.
@@ -183,16 +183,16 @@
 }
 
 impl Channel {
-    /// Creates the view of a worker. All runs from earlier terms have ended by `lapse_by`
+    /// Creates the view of a worker. All runs from earlier terms have ended by `all_ended_by`
     /// unless their leases are renewed.
-    pub fn new(now: Moment, lapse_by: Moment, rack: u32) -> Self {
+    pub fn new(now: Moment, all_ended_by: Moment, rack: u32) -> Self {
         Self {
             adopted: false,
             reading: None,
             heard_at: now,
             reported_at: now,
             lease_until: 0,
-            lapse_by,
+            all_ended_by: all_ended_by,
             committed_end: 0,
             acknowledged_end: 0,
             proposed_end: 0,
@@ -316,8 +316,8 @@
     }
 
     /// Returns whether every lease granted to the worker has certainly expired.
-    pub fn has_lapsed(&self, now: Moment) -> bool {
-        if now < self.lapse_by {
+    pub fn leases_expired(&self, now: Moment) -> bool {
+        if now < self.all_ended_by {
             return false;
         }
         self.reading
--- a/src/core/plane/lead/mod.rs
+++ b/src/core/plane/lead/mod.rs
@@ -131,7 +131,7 @@
                 continue;
             }
             let rack = lead.rack(worker);
-            let mut channel = Channel::new(now.at, lead.lapse_by(now.at), rack);
+            let mut channel = Channel::new(now.at, lead.all_ended_by(now.at), rack);
             for (task, run) in &worker.runs {
                 let live = Live {
                     run: run.run,
@@ -149,7 +149,7 @@
 
     /// Returns the time by which every run ordered until now has ended if its lease was
     /// not renewed.
-    fn lapse_by(&self, now: Moment) -> Moment {
+    fn all_ended_by(&self, now: Moment) -> Moment {
         now + with_clock_margin(with_clock_margin(self.bounds.hold)) + self.bounds.stop
     }
 
@@ -232,9 +232,7 @@
                 self.note(Note::Configured { version });
             }
             Command::Register(report) => self.registered(now, state, &report.id),
-            Command::Depart(worker) => {
-                self.departed(now, state, *worker, "replacement by another incarnation")
-            }
+            Command::Depart(worker) => self.departed(now, state, *worker, "another incarnation"),
             Command::Submit { submission, .. } => {
                 self.submitting.remove(&submission.id);
             }
--- a/src/core/plane/lead/replies.rs
+++ b/src/core/plane/lead/replies.rs
@@ -192,8 +192,8 @@
 
     fn schedule_inspection(&mut self, now: Now, key: WorkerKey) {
         let channel = self.channels.get_mut(&key).expect("known worker");
-        let is_storing = channel.has_uncommitted_ends();
-        channel.inspect_at = if is_storing {
+        let has_uncommitted_ends = channel.has_uncommitted_ends();
+        channel.inspect_at = if has_uncommitted_ends {
             // Rescheduled earlier once the ends are committed.
             now.at + ANSWER_TIMEOUT
         } else if !channel.live().is_empty() {
--- a/src/core/plane/lead/workers.rs
+++ b/src/core/plane/lead/workers.rs
@@ -62,7 +62,7 @@
                 continue;
             }
             let out_of_contact = !channel.adopted || channel.unanswered_since.is_some();
-            if out_of_contact && !channel.live().is_empty() && channel.has_lapsed(now.at) {
+            if out_of_contact && !channel.live().is_empty() && channel.leases_expired(now.at) {
                 self.end_all_as_void(key, state, "lease expiry");
             }
             let channel = self.channels.get_mut(&key).expect("not removed above");
@@ -374,7 +374,7 @@
             .filter(|(_, live)| same_id && !live.listed && !live.ending)
             .map(|(&task, &live)| (task, live))
             .collect();
-        let lapse_by = self.lapse_by(now.at);
+        let all_ended_by = self.all_ended_by(now.at);
         for (task, live) in runs {
             self.channels
                 .get_mut(&old)
@@ -382,7 +382,7 @@
                 .remove(task);
             self.places.remove(&(task, old));
             let channel = self.channels.get_mut(&new).expect("known worker");
-            channel.lapse_by = channel.lapse_by.max(lapse_by);
+            channel.all_ended_by = channel.all_ended_by.max(all_ended_by);
             let inherited = Live {
                 run: live.run,
                 ordered_at: now.at,
--- a/tests/support/plane.rs
+++ b/tests/support/plane.rs
@@ -789,8 +789,8 @@
                 "{task} starts too early; it is due at {due} ms"
             );
         }
-        let handed = &self.submit_calls[&task.step.job];
-        let refused = matches!(self.answers.get(handed), Some(Answer::Unavailable { .. }));
+        let call = &self.submit_calls[&task.step.job];
+        let refused = matches!(self.answers.get(call), Some(Answer::Unavailable { .. }));
         assert!(!refused, "{task} starts although its job was refused");
         let cap = self.state.accounts[0].cap;
         if cap != Amount::default() {
