--- a/src/core/plane/lead/channel.rs
+++ b/src/core/plane/lead/channel.rs
@@ -192,7 +192,7 @@
             heard_at: now,
             reported_at: now,
             lease_until: 0,
-            all_ended_by: all_ended_by,
+            all_ended_by,
             committed_end: 0,
             acknowledged_end: 0,
             proposed_end: 0,
