--- a/src/core/fleet/estimate.rs
+++ b/src/core/fleet/estimate.rs
@@ -1,14 +1,14 @@
-//! Sizes corrected by what tasks really used, by team, job name and declared size.
+//! Estimates of task sizes from measured usage, by team, job name and declared size.
 
 use std::collections::HashMap;
 
 use crate::core::job::{Size, Spec};
 
-/// Reports after which a declared size may be lowered.
+/// Usage reports after which the reservation may be below the declared size.
 const SAMPLES_MIN: u32 = 8;
-/// Margin above the estimated peak, in percent.
+/// Reserved size in percent of the estimated peak.
 const MARGIN_PERCENT: u64 = 110;
-/// Likenesses that are remembered.
+/// Most estimates that are kept; all are discarded when it is reached.
 const LIKENESSES_MAX: usize = 20_000;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,7 +17,7 @@
     samples: u32,
 }
 
-/// Jobs whose tasks are taken to be alike.
+/// Key of jobs whose tasks are assumed to have similar usage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Likeness {
     team: String,
@@ -35,14 +35,15 @@
     }
 }
 
-/// Estimated peaks.
+/// Estimated peak usage of tasks.
 #[derive(Debug, Default)]
 pub struct Estimates {
     peaks: HashMap<Likeness, Estimate>,
 }
 
 impl Estimates {
-    /// Takes in what a task uses: upwards at once, downwards slowly.
+    /// Records a task's reported usage. A higher peak applies at once; the peak decays by
+    /// 1/128 per report.
     pub fn record(&mut self, team: &str, spec: &Spec, used: Size) {
         if self.peaks.len() >= LIKENESSES_MAX {
             self.peaks.clear();
@@ -57,7 +58,8 @@
         };
     }
 
-    /// Returns the size to reserve for a task.
+    /// Returns the size to reserve for a task: above the declared size as soon as the
+    /// estimate needs it, below it only after enough reports.
     pub fn size(&self, team: &str, spec: &Spec) -> Size {
         let declared = spec.size;
         let Some(estimate) = self.peaks.get(&Likeness::of(team, spec)) else {
--- a/src/core/fleet/explain.rs
+++ b/src/core/fleet/explain.rs
@@ -1,4 +1,4 @@
-//! Why tasks wait.
+//! Explanations for operators and clients of why a job's tasks wait.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -7,86 +7,86 @@
 use crate::core::job::{Class, Id};
 use crate::core::time::Moment;
 
-/// Why a job's tasks wait.
+/// Reason why tasks of a job wait.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The zone leader is new; tasks may still run under earlier leases.
-    #[display("{tasks} tasks may still run under an earlier leader's leases for {millis} ms")]
+    /// The zone leader is new, and tasks may still run under leases from its predecessor.
+    #[display("{tasks} tasks may still run under leases from the previous leader for {millis} ms")]
     Unsettled {
-        /// Tasks.
+        /// Number of these tasks.
         tasks: usize,
-        /// Time left.
+        /// Time left until these leases have expired, in milliseconds.
         millis: u64,
     },
-    /// Its tasks failed again and again.
-    #[display("paused for {millis} ms after {failures} failures in a row")]
+    /// The job is paused because its tasks kept failing.
+    #[display("paused for {millis} ms after {failures} consecutive failures")]
     Backoff {
-        /// Time left.
+        /// Time left in the pause, in milliseconds.
         millis: u64,
-        /// Failures.
+        /// Number of consecutive failures.
         failures: u32,
     },
-    /// The team has no unit of its limit left.
-    #[display("the team runs as much as its upper limit allows here")]
+    /// The team has used up its limit.
+    #[display("the team has no units of its limit left in this zone")]
     Limit,
-    /// No worker has room for a task.
+    /// No worker has enough free resources for a task.
     #[display(
-        "no open worker has {cpu_milli} milli-processors, {memory_mb} MB, {accelerators} accelerators free"
+        "no worker that accepts tasks has {cpu_milli} milli-processors, {memory_mb} MB, {accelerators} accelerators free"
     )]
     Size {
-        /// Thousandths of a processor.
+        /// Needed processors, in thousandths.
         cpu_milli: u64,
-        /// Memory in megabytes.
+        /// Needed memory in megabytes.
         memory_mb: u64,
-        /// Accelerators.
+        /// Needed accelerators.
         accelerators: u64,
     },
-    /// Room is being kept until all its tasks fit.
-    #[display("room for {room} of {tasks} tasks is kept until all fit")]
+    /// Resources are being reserved until all tasks of the job fit.
+    #[display("resources for {room} of {tasks} tasks are reserved until all fit")]
     Gathering {
-        /// Tasks with room.
+        /// Number of tasks with reserved resources.
         room: usize,
-        /// Tasks.
+        /// Number of tasks that have to start together.
         tasks: usize,
     },
-    /// Another all-at-once job gathers room first.
-    #[display("job {job} gathers room first")]
+    /// Resources are being reserved for another all-at-once job first.
+    #[display("resources are being reserved for job {job} first")]
     Behind {
-        /// Job.
+        /// The other job.
         job: Id,
     },
     /// Teams further below their shares go first.
     #[display("teams further below their shares go first")]
     Share,
-    /// Workers are set aside because they fail what they start.
-    #[display("{workers} workers are set aside because of failures")]
+    /// Workers are quarantined because tasks kept failing on them.
+    #[display("{workers} workers are quarantined because of failures")]
     Quarantine {
-        /// Workers.
+        /// Number of quarantined workers.
         workers: usize,
     },
-    /// Tasks whose workers cannot be reached wait for them, as asked.
+    /// Tasks wait for their unreachable workers, as the job requests.
     #[display("{tasks} tasks wait for their unreachable workers")]
     Unreachable {
-        /// Tasks.
+        /// Number of these tasks.
         tasks: usize,
     },
 }
 
-/// Where a job's tasks stand and why.
+/// Numbers of waiting and placed tasks of a job, and why tasks wait.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Explanation {
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: usize,
-    /// Tasks that were placed.
+    /// Number of placed tasks.
     pub placed: usize,
-    /// Why tasks wait.
+    /// Reasons why tasks wait.
     pub reasons: Vec<Reason>,
 }
 
 impl Fleet {
-    /// Explains where a job's tasks stand.
+    /// Explains the state of a job's tasks, or returns `None` if the job is unknown.
     pub fn explain(&self, now: Moment, id: Id) -> Option<Explanation> {
         let job = self.jobs.get(&id)?;
         let mut reasons = Vec::new();
--- a/src/core/fleet/gang.rs
+++ b/src/core/fleet/gang.rs
@@ -1,4 +1,4 @@
-//! Jobs whose tasks start all together or not at all.
+//! Gang scheduling: jobs whose tasks start all together or not at all.
 
 use std::time::Duration;
 
@@ -6,28 +6,29 @@
 use crate::core::job::{Id, Size, Task};
 use crate::core::time::Moment;
 
-/// Waiting time after which room is kept for the first such job.
+/// Waiting time after which resources are reserved for a gang that does not fit.
 const PATIENCE: Duration = Duration::from_secs(2);
-/// Longest time that room is kept for one job before the next gets its turn.
+/// Longest time for which resources stay reserved for one gang before it goes to the end
+/// of the queue.
 const HOLD_MAX: Duration = Duration::from_secs(120);
-/// Jobs that are tried in one tick.
+/// Gangs that are tried per tick.
 const JOBS_TRIED: usize = 4;
 
-/// Room kept for one job.
+/// Resources reserved for a gang that does not fit yet.
 #[derive(Debug)]
 pub struct Hold {
-    /// Job.
+    /// Job of the gang.
     pub job: Id,
-    /// Since when.
+    /// Time at which the reservation began.
     pub since: Moment,
-    /// One entry for each task that has room.
+    /// Worker and reserved size of each task that fits so far.
     pub room: Vec<(WorkerKey, Size)>,
-    /// Workers that get nothing new until the job has room.
+    /// Workers that accept no other tasks until the gang starts.
     pub drained: Vec<WorkerKey>,
 }
 
 impl Fleet {
-    /// Starts all-at-once jobs that fit, and keeps room for the first that does not.
+    /// Starts gangs that fit, and reserves resources for the first one that does not.
     pub(super) fn place_gangs(&mut self, now: Moment) {
         if let Some(hold) = &self.hold
             && now.since(hold.since) > HOLD_MAX
@@ -84,7 +85,7 @@
         }
     }
 
-    // Keeps room for as many tasks as fit now, on drained workers first.
+    // Reserves resources for as many tasks as fit now, on drained workers first.
     fn gather(&mut self, hold: &mut Hold, size: Size, tasks: usize) {
         for key in hold.drained.clone() {
             let fits = |w: &Worker| w.up && !w.health.is_quarantined() && w.free().fits(size);
@@ -102,7 +103,8 @@
         }
     }
 
-    // Chooses the emptiest workers that, once free, have room for what is lacking.
+    // Drains workers, those with the least CPU reserved first, until they can run the
+    // missing tasks once their current ones have ended.
     fn drain(&mut self, hold: &mut Hold, size: Size, tasks: usize) {
         let room_on = |worker: &Worker| {
             let unkept = worker.total.minus(worker.kept);
@@ -156,14 +158,14 @@
         self.refresh(key);
     }
 
-    /// Gives up the room that is kept.
+    /// Cancels the current gang's reservation, if any.
     pub(super) fn release_hold(&mut self) {
         if let Some(hold) = self.hold.take() {
             self.let_go(hold);
         }
     }
 
-    // The job goes to the end of the line.
+    // Cancels the current reservation and moves its job to the end of the queue.
     fn rotate(&mut self, now: Moment) {
         let Some(id) = self.hold.as_ref().map(|hold| hold.job) else {
             return;
--- a/src/core/fleet/health.rs
+++ b/src/core/fleet/health.rs
@@ -1,38 +1,39 @@
-//! Failure rates and quarantine of workers.
+//! Quarantine of workers on which tasks keep failing.
 
 use std::time::Duration;
 
 use crate::core::time::Moment;
 
-/// Failures in a row after which a worker is set aside.
+/// Consecutive failures after which a worker is quarantined.
 const STREAK_MAX: u32 = 3;
-/// Rate of all workers, in thousandths, above which failures are not one worker's.
+/// Failure rate over all workers, in thousandths, above which failures are not attributed
+/// to a single worker.
 const COMMON_RATE_MILLI: u32 = 500;
-/// First quarantine.
+/// Length of the first quarantine; doubles with each further one.
 const QUARANTINE_BASE: Duration = Duration::from_secs(10);
-/// Longest quarantine.
+/// Longest quarantine of a worker.
 const QUARANTINE_CAP: Duration = Duration::from_secs(600);
 
-/// Decayed share of runs that failed, over all workers.
+/// Exponentially decayed failure rate over all workers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     milli: u32,
 }
 
 impl Rate {
-    /// Takes in how a run ended.
+    /// Updates the rate with the outcome of a run.
     pub const fn record(&mut self, ok: bool) {
         let target = if ok { 0 } else { 1_000 };
         self.milli = (self.milli * 31 + target) / 32;
     }
 
-    /// Returns whether failures are common everywhere.
+    /// Returns whether failures are too common to be attributed to a single worker.
     pub const fn is_common(self) -> bool {
         self.milli > COMMON_RATE_MILLI
     }
 }
 
-/// Failures of one worker.
+/// Recent failures and quarantine of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     streak: u32,
@@ -41,17 +42,18 @@
 }
 
 impl Health {
-    /// Returns whether it gets nothing new.
+    /// Returns whether the worker is quarantined and gets no new tasks.
     pub const fn is_quarantined(&self) -> bool {
         self.until.is_some()
     }
 
-    /// Returns whether its latest runs failed, so that failures may be its own.
+    /// Returns whether at least its two latest runs failed, so that the worker may be the
+    /// cause of a further failure.
     pub const fn is_suspect(&self) -> bool {
         self.streak >= 2
     }
 
-    /// Takes in how a run ended; yields the length of a quarantine that begins.
+    /// Records the outcome of a run. Returns the length of the quarantine if one begins.
     pub fn record(&mut self, now: Moment, ok: bool, rate: Rate) -> Option<Duration> {
         if ok {
             self.streak = 0;
@@ -70,7 +72,8 @@
         Some(length)
     }
 
-    /// Ends a quarantine whose time is up; one more failure begins the next.
+    /// Ends a quarantine whose time is up and returns whether it did. The next failure
+    /// starts another quarantine.
     pub fn tick(&mut self, now: Moment) -> bool {
         if self.until.is_some_and(|until| now >= until) {
             self.until = None;
--- a/src/core/fleet/index.rs
+++ b/src/core/fleet/index.rs
@@ -1,14 +1,15 @@
-//! Workers ordered by free processors, apart by whether they have accelerators.
+//! Index of workers by free processors. Workers with free accelerators are kept apart.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::WorkerKey;
 use crate::core::job::Size;
 
-/// Workers looked at in one direction before the search turns.
+/// Workers that are examined from one end of the index before the search goes on from the
+/// other, and most candidates returned for spreading.
 const PROBES: usize = 48;
 
-/// Free capacity of all open workers.
+/// Free resources of all workers that accept new tasks.
 #[derive(Debug, Default)]
 pub struct Index {
     plain: BTreeSet<(u64, WorkerKey)>,
@@ -18,7 +19,7 @@
 }
 
 impl Index {
-    /// Sets what is free on a worker; `None` if it gets nothing new.
+    /// Sets the free resources of a worker, or `None` if it accepts no new tasks.
     pub fn set(&mut self, key: WorkerKey, free: Option<Size>) {
         let old = self.free.remove(&key);
         if let Some(old) = old {
@@ -44,18 +45,19 @@
         }
     }
 
-    /// Returns a number that changes whenever a worker gains room.
+    /// Returns a counter that rises whenever free resources are added, so that a job that
+    /// did not fit need not be tried again before.
     pub const fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Finds the fullest worker that fits.
+    /// Finds a worker that fits, preferring few free processors (best fit).
     pub fn tightest(&self, need: Size) -> Option<WorkerKey> {
         self.sets(need).into_iter().find_map(|set| {
             let from = (need.cpu_milli, WorkerKey(0));
             let fits = |&(_, key): &(u64, WorkerKey)| self.free[&key].fits(need).then_some(key);
-            // The fullest may lack memory, the emptiest rarely does; the rest is
-            // looked at only when both ends fail.
+            // The fullest workers may lack memory, the emptiest rarely do. The others are
+            // examined only if both ends fail.
             set.range(from..)
                 .take(PROBES)
                 .find_map(fits)
@@ -64,7 +66,7 @@
         })
     }
 
-    /// Returns workers that fit, emptiest first, up to a bounded number.
+    /// Returns a bounded number of workers that fit, those with the most free processors first.
     pub fn emptiest(&self, need: Size) -> Vec<WorkerKey> {
         let mut found = Vec::new();
         for set in self.sets(need) {
@@ -82,7 +84,8 @@
         found
     }
 
-    /// Returns open workers, emptiest first, whether or not something fits.
+    /// Returns all workers in the index, those with the most free processors first and those
+    /// with free accelerators last.
     pub fn all_emptiest(&self) -> impl Iterator<Item = WorkerKey> {
         self.plain
             .iter()
@@ -91,7 +94,8 @@
             .map(|&(_, key)| key)
     }
 
-    // Tasks without accelerators leave accelerated workers to those that need them.
+    // Tasks without accelerators use accelerated workers only as a last resort, to leave
+    // them to the tasks that need them.
     fn sets(&self, need: Size) -> Vec<&BTreeSet<(u64, WorkerKey)>> {
         if need.accelerators > 0 {
             vec![&self.accelerated]
--- a/src/core/fleet/job.rs
+++ b/src/core/fleet/job.rs
@@ -1,4 +1,4 @@
-//! A job as the zone leader places it.
+//! Placement state of jobs at the zone leader.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -7,66 +7,66 @@
 use crate::core::job::{Job, Size, Spec};
 use crate::core::time::Moment;
 
-/// Order of jobs of one team: earliest deadline, then first come.
+/// Sort key of jobs in a queue: urgent first, then by deadline, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Urgent jobs sort first.
+    /// Whether the job is not urgent; `false` sorts first.
     pub later: bool,
-    /// Deadline, or the end of time.
+    /// Deadline, or the largest [`Moment`] for jobs without one.
     pub deadline: Moment,
-    /// When the job was first seen, plus a part of its run time where waiting time
-    /// weighs most.
+    /// Time at which the job was first seen, or at which its gang's reservation last timed
+    /// out.
     pub since: Moment,
 }
 
-/// Where a task was put.
+/// Assignment of a task to a worker.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Worker.
+    /// Worker that the task is assigned to.
     pub worker: WorkerKey,
-    /// Number that fences this run of the task.
+    /// Attempt number, which serves as the fencing token of this run.
     pub attempt: u64,
-    /// Size that is reserved for it.
+    /// Resources reserved for the task.
     pub size: Size,
-    /// Whether its worker is unreachable and the task waits for it.
+    /// Whether the worker became unreachable and the task stays assigned to it.
     pub kept: bool,
-    /// Whether it was told to end.
+    /// Whether the task was ordered to end.
     pub evicting: bool,
 }
 
 /// Placement state of one job.
 #[derive(Debug)]
 pub struct JobState {
-    /// Team.
+    /// Team that submitted the job.
     pub team: String,
-    /// What was asked for.
+    /// Job specification as submitted.
     pub spec: Spec,
-    /// Place in its team's queue.
+    /// Position in its queue.
     pub rank: Rank,
-    /// When it was first seen.
+    /// Time at which this leader first saw the job.
     pub since: Moment,
     /// Size to reserve for the next task.
     pub size: Size,
-    /// Tasks to be placed.
+    /// Indices of the tasks to be placed.
     pub waiting: BTreeSet<u32>,
-    /// Tasks that were placed.
+    /// Placements of the tasks that are assigned to workers, by index.
     pub placed: HashMap<u32, Placement>,
-    /// Tasks that may still run under a predecessor's lease.
+    /// Indices of the tasks that may still run under a lease from a previous leader.
     pub unsettled: BTreeSet<u32>,
-    /// Tasks that ended; the registry does not hold it yet.
+    /// Indices of the completed tasks whose end the registry has yet to record.
     pub ending: BTreeSet<u32>,
-    /// Failures in a row that are not a worker's fault.
+    /// Consecutive failures that are not attributed to a worker.
     pub failures: u32,
-    /// Nothing of it is placed before.
+    /// Time before which none of its tasks is placed, because of backoff.
     pub not_before: Moment,
-    /// State of the fleet in which nothing fitted.
+    /// Value of [`Index::changes`](super::index::Index::changes) at which no worker fitted.
     pub blocked: Option<u64>,
-    /// Tasks by rack.
+    /// Number of placed tasks by rack.
     pub racks: BTreeMap<u32, u32>,
 }
 
 impl JobState {
-    /// Makes the state of a job first seen at `now`.
+    /// Creates the state of a job that is first seen at `now`.
     pub fn new(now: Moment, job: &Job, estimates: &mut Estimates) -> Self {
         let spec = job.spec.clone();
         let deadline = match spec.deadline_ms {
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Counts a task on a rack.
+    /// Adds a task to the count of a rack.
     pub fn enter_rack(&mut self, rack: u32) {
         *self.racks.entry(rack).or_default() += 1;
     }
 
-    /// Ends the count of a task on a rack.
+    /// Removes a task from the count of a rack.
     pub fn leave_rack(&mut self, rack: u32) {
         if let Some(count) = self.racks.get_mut(&rack) {
             *count = count.saturating_sub(1);
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The task plane of one zone: workers, leases, and which task runs where.
+//! Task scheduling of one zone: worker leases, placement of tasks and their recovery.
 
 mod estimate;
 mod explain;
@@ -27,23 +27,23 @@
 use index::Index;
 use job::JobState;
 
-/// Term of a worker's lease on the worker's clock. A worker ends its tasks when it
-/// runs out.
+/// Length of a worker's lease, by the worker's clock. A worker ends its tasks when the
+/// lease expires.
 pub const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// Longest time that a poll waits for orders.
+/// Longest time for which a poll is held open until there are orders.
 pub const POLL_WAIT_MAX: Duration = Duration::from_secs(4);
-/// Lost tasks that may be placed anew for each tick.
+/// Lost tasks that are queued again per tick.
 const REPLACE_PER_TICK: usize = 10;
-/// Placements in one tick, which bounds the time it takes.
+/// Most placements per tick, other than of gangs; bounds the time that a tick takes.
 const PLACE_PER_TICK: usize = 256;
-/// Half-life of a team's recorded usage.
+/// Half-life of the decayed average of a team's usage.
 const USAGE_HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// Addresses a worker.
+/// Index of a worker in the table of its [`Fleet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub u32);
 
-/// Standing of one team.
+/// Usage, unused units and waiting jobs of one team.
 #[derive(Clone, Debug, Default)]
 struct Team {
     share: u32,
@@ -55,7 +55,7 @@
     waiting: BTreeSet<(job::Rank, Id)>,
 }
 
-/// Tasks and workers of one zone, at its leader.
+/// Scheduler of a zone's tasks on its workers, run by the zone leader.
 #[derive(Debug)]
 pub struct Fleet {
     term: u64,
@@ -86,8 +86,9 @@
 }
 
 impl Fleet {
-    /// Makes the task plane of a leader that takes office at `now`. Unless it is
-    /// the zone's `first`, tasks of a predecessor may run until their leases end.
+    /// Creates the scheduler of a leader whose `term` begins at `now`. Unless it is the
+    /// zone's `first` leader, tasks that a previous leader placed may run until their
+    /// workers' leases expire.
     pub fn new(term: u64, first: bool, now: Moment) -> Self {
         let settled_at = if first {
             now
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes the configuration in force.
+    /// Applies the configuration: team shares, queue policies and the order of teams.
     pub fn configure(&mut self, config: &Config) {
         self.policy = config.cell.order;
         self.queues = config
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes an open job of this zone, if it is new.
+    /// Adds an open job of this zone, unless it is known.
     pub fn add_job(&mut self, now: Moment, job: &Job) {
         if self.jobs.contains_key(&job.id) {
             return;
@@ -154,7 +155,7 @@
         self.enlist(id);
     }
 
-    /// Ends a job that is no longer open: its tasks are told to stop.
+    /// Removes a job that is no longer open and orders its tasks to stop.
     pub fn drop_job(&mut self, now: Moment, id: Id) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -177,7 +178,7 @@
         let key = placement.worker;
         let worker = &mut self.workers[key.0 as usize];
         if worker.held.remove(&task).is_some() {
-            // It was never ordered to start.
+            // No start was ordered, so there is nothing to stop.
             worker.tasks.remove(&task);
             self.refresh(key);
             let size = placement.size;
@@ -192,12 +193,12 @@
         self.woken.insert(key);
     }
 
-    /// Returns the identities of all jobs.
+    /// Returns the ids of all known jobs.
     pub fn job_ids(&self) -> impl Iterator<Item = Id> {
         self.jobs.keys().copied()
     }
 
-    /// Records that the registry holds the end of a task; its worker may forget it.
+    /// Acknowledges a task's end to its worker, once the registry has recorded it.
     pub fn confirm_end(&mut self, task: Task) {
         if let Some((key, attempt)) = self.acks.remove(&task) {
             let worker = &mut self.workers[key.0 as usize];
@@ -209,12 +210,12 @@
         }
     }
 
-    /// Returns ended tasks that the registry is to record.
+    /// Takes the ends that the registry is to record.
     pub fn take_ended(&mut self) -> Vec<Ended> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Returns workers that have new orders since the last call.
+    /// Takes the names of the workers that have new orders since the last call.
     pub fn take_woken(&mut self) -> Vec<String> {
         std::mem::take(&mut self.woken)
             .into_iter()
@@ -222,13 +223,12 @@
             .collect()
     }
 
-    /// Returns the events since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Returns the units that each team could use for waiting tasks, beside those
-    /// in stock, and those that its running tasks use.
+    /// Returns the units that each team's waiting and placed tasks need in total.
     pub fn unit_demands(&self) -> BTreeMap<String, u64> {
         let mut demands: BTreeMap<String, u64> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -238,7 +238,8 @@
         demands
     }
 
-    /// Returns how many units each team lacks for its waiting tasks.
+    /// Returns how many units each team lacks for its waiting tasks, up to what one tick
+    /// can use.
     pub fn wanted_units(&self) -> Vec<(String, u64)> {
         let mut wanted: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.waiting.is_empty()) {
@@ -260,7 +261,7 @@
             .collect()
     }
 
-    /// Adds units of a team's limit to the stock; `wanted` were asked for.
+    /// Adds units of a team's limit that were granted after a request for `wanted` units.
     pub fn add_units(&mut self, team: &str, units: u64, wanted: u64) {
         let state = self.team_mut(team);
         state.stock += units;
@@ -271,13 +272,13 @@
         }
     }
 
-    /// Returns the teams of tasks that were found running since the last call, once
-    /// for each task.
+    /// Takes the teams of the tasks that were found running since the last call, with one
+    /// entry for each task.
     pub fn take_adopted(&mut self) -> Vec<String> {
         std::mem::take(&mut self.adopted_units)
     }
 
-    /// Takes all units out of the stock that no hold needs.
+    /// Takes all units that no task uses, by team.
     pub fn return_stock(&mut self) -> Vec<(String, u64)> {
         self.teams
             .iter_mut()
@@ -286,7 +287,7 @@
             .collect()
     }
 
-    /// Lets time pass: leases end, and waiting tasks are placed.
+    /// Expires leases, queues lost tasks again and places waiting tasks.
     pub fn tick(&mut self, now: Moment) {
         self.expire_leases(now);
         self.settle_unsettled(now);
@@ -294,24 +295,24 @@
         self.place_waiting(now);
     }
 
-    /// Returns the total size of all workers.
+    /// Returns the total resources of the workers whose leases are valid.
     pub const fn total(&self) -> Size {
         self.total
     }
 
-    /// Returns all workers.
+    /// Returns all workers, also those whose leases have expired.
     pub fn workers(&self) -> impl Iterator<Item = &Worker> {
         self.workers.iter()
     }
 
-    /// Returns how many tasks run and how many wait.
+    /// Returns the numbers of placed and of waiting tasks.
     pub fn counts(&self) -> (usize, usize) {
         self.jobs.values().fold((0, 0), |(running, waiting), job| {
             (running + job.placed.len(), waiting + job.waiting.len())
         })
     }
 
-    /// Returns each team's dominant share of the zone that its tasks use now.
+    /// Returns the dominant share of the zone that each team's tasks have reserved.
     pub fn dominant_shares(&self) -> BTreeMap<String, f64> {
         self.teams
             .iter()
@@ -319,7 +320,8 @@
             .collect()
     }
 
-    /// Says why a job of this size can never run here, if so.
+    /// Returns why the zone's workers could not run a job even if they were empty, or
+    /// `None` if they could.
     pub fn misfit(&self, spec: &Spec) -> Option<String> {
         let largest = self
             .workers
@@ -333,11 +335,11 @@
             ("accelerators", need.accelerators > largest.accelerators),
         ];
         if let Some((dimension, _)) = lacks.iter().find(|(_, lack)| *lack) {
-            return Some(format!("no worker has that much of: {dimension}"));
+            return Some(format!("task size exceeds every worker's {dimension}"));
         }
         let fits = self.workers.iter().any(|w| w.is_up() && w.total.fits(need));
         if !fits {
-            return Some("no worker has that much of all dimensions together".to_owned());
+            return Some("no single worker is large enough in all dimensions".to_owned());
         }
         if spec.class == Class::AllAtOnce {
             let capacity: u64 = self
@@ -348,7 +350,7 @@
                 .sum();
             if capacity < u64::from(spec.tasks) {
                 return Some(format!(
-                    "only {capacity} of {} tasks fit at once",
+                    "the workers can run only {capacity} of {} tasks at the same time",
                     spec.tasks
                 ));
             }
@@ -371,14 +373,14 @@
         self.team_mut(team).stock += 1;
     }
 
-    // Brings the free-capacity index up to date with one worker.
+    // Updates a worker's entry in the free-capacity index.
     fn refresh(&mut self, key: WorkerKey) {
         let worker = &mut self.workers[key.0 as usize];
         let free = worker.is_open().then(|| worker.free());
         self.index.set(key, free);
     }
 
-    // Puts a job with waiting tasks into the queues that placement looks at.
+    // Adds a job with waiting tasks to the queue of its class.
     fn enlist(&mut self, id: Id) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -412,7 +414,8 @@
         }
     }
 
-    // Changes what a team runs and its place in the order of teams.
+    // Updates a team's reserved resources, its usage average and its position in the order
+    // of teams. The score is the sum of current and average dominant share over the weight.
     fn charge(&mut self, now: Moment, name: &str, change: impl FnOnce(Size) -> Size) {
         let total = self.total;
         let team = self.team_mut(name);
@@ -424,7 +427,7 @@
         team.running = change(team.running);
         let level = (team.running.dominant_of(total) + team.usage) / f64::from(team.share.max(1));
         let old = team.score;
-        // Positive floats keep their order as bits.
+        // The bit patterns of non-negative floats sort like their values.
         team.score = level.max(0.0).to_bits();
         let score = team.score;
         if self.order.remove(&(old, name.to_owned())) {
@@ -444,7 +447,8 @@
         }
     }
 
-    // Tasks that no worker has reported by the end of the old leases run nowhere.
+    // Queues the tasks that no worker has reported by the time at which all leases from the
+    // previous leader have expired, since they run nowhere.
     fn settle_unsettled(&mut self, now: Moment) {
         if now < self.settled_at {
             return;
--- a/src/core/fleet/place.rs
+++ b/src/core/fleet/place.rs
@@ -1,4 +1,4 @@
-//! Choosing workers for waiting tasks.
+//! Placement of waiting tasks on workers, and preemption for urgent ones.
 
 use super::index::Index;
 use super::job::Placement;
@@ -8,15 +8,16 @@
 use crate::core::time::Moment;
 use crate::event::Event;
 
-/// Jobs of one team that are tried in one tick before the team has to wait.
+/// Jobs of one team that are tried before the team is skipped for the rest of a tick.
 const JOBS_TRIED: usize = 8;
-/// Workers looked at for tasks to evict.
+/// Workers that are examined, emptiest first, for tasks to preempt.
 const EVICT_PROBES: usize = 48;
-/// Part of a job's run time that counts as waited, where waiting time weighs most.
+/// Weight of a job's estimated run time against its waiting time under [`Order::Wait`], so
+/// that teams with short jobs go first.
 const RUN_TIME_WEIGHT: u32 = 4;
 
 impl Fleet {
-    /// Places waiting tasks: urgent ones, all-at-once jobs, then team by team.
+    /// Places urgent tasks, then gangs, then other tasks in the order of teams.
     pub(super) fn place_waiting(&mut self, now: Moment) {
         let mut left = PLACE_PER_TICK;
         self.place_urgent(now, &mut left);
@@ -34,8 +35,8 @@
         }
     }
 
-    // The team furthest below its share, or the one whose first job has waited
-    // longest for its run time.
+    // Returns the next team by the configured order: the one furthest below its share, or
+    // the one whose first job has waited longest relative to its estimated run time.
     fn next_team(&self, done: &[String]) -> Option<String> {
         let mut open = self
             .order
@@ -57,7 +58,7 @@
         }
     }
 
-    // Places one task of a team; false if the team has to wait.
+    // Places one task of a team. Returns `false` if none of its jobs can be placed.
     fn place_one_of(&mut self, now: Moment, team: &str) -> bool {
         if self.teams[team].stock == 0 {
             return false;
@@ -88,7 +89,8 @@
         true
     }
 
-    /// Chooses a worker for the next task of a job by its queue's policy.
+    /// Chooses a worker for a job's next task by the policy of its queue. Without one,
+    /// services are spread over racks and other jobs are packed.
     pub(super) fn choose(&self, id: Id) -> Option<WorkerKey> {
         let job = &self.jobs[&id];
         let policy = match (self.queues.get(&job.spec.queue), job.spec.class) {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Puts a task of the stock's team on a worker and orders its start.
+    /// Assigns a task to a worker, using a unit of its team, and orders its start.
     pub(super) fn put(&mut self, now: Moment, key: WorkerKey, task: Task) {
         let attempt = self.mint_attempt();
         let job = &self.jobs[&task.job];
@@ -146,7 +148,7 @@
         });
     }
 
-    /// Records a task on a worker and reserves its size.
+    /// Records a task's placement and reserves its size on the worker.
     pub(super) fn reserve(
         &mut self,
         now: Moment,
@@ -198,7 +200,7 @@
         self.charge(now, &team, |running| running.plus(size));
     }
 
-    /// Frees what a task had reserved; yields its team, whose unit is free again.
+    /// Releases a task's reservation. Returns its team, to which the caller returns the unit.
     pub(super) fn vacate(&mut self, now: Moment, key: WorkerKey, task: Task) -> Option<String> {
         let worker = &mut self.workers[key.0 as usize];
         let attempt = worker.tasks.remove(&task)?;
@@ -252,8 +254,8 @@
         self.make_room(now, Task { job: id, index })
     }
 
-    // Checkpoints lower work on the worker where the fewest tasks must go. The
-    // urgent task starts once they have ended.
+    // Preempts tasks for an urgent one, on the worker where the fewest have to be
+    // checkpointed. The urgent task starts once they have ended.
     fn make_room(&mut self, now: Moment, task: Task) -> bool {
         let need = self.jobs[&task.job].size;
         let mut best: Option<(WorkerKey, Vec<Task>)> = None;
@@ -310,7 +312,7 @@
         free.fits(need).then_some(victims)
     }
 
-    /// Tells a task to make way or to use less.
+    /// Orders a worker to end or throttle a task.
     pub(super) fn evict(&mut self, key: WorkerKey, task: Task, how: How, reason: &str) {
         let worker = &mut self.workers[key.0 as usize];
         let Some(&attempt) = worker.tasks.get(&task) else {
@@ -331,7 +333,7 @@
         });
     }
 
-    // Starts urgent tasks for which the room is there now.
+    // Starts the urgent tasks that waited for preempted tasks to end and now fit.
     fn start_held(&mut self, key: WorkerKey) {
         let held: Vec<(Task, Size)> = self.workers[key.0 as usize]
             .held
--- a/src/core/fleet/poll.rs
+++ b/src/core/fleet/poll.rs
@@ -1,4 +1,4 @@
-//! What workers report and what they are ordered to do.
+//! Worker polls: the reports that workers send and the orders that answer them.
 
 use std::time::Duration;
 
@@ -12,79 +12,79 @@
 use crate::error::{Error, Kind, Result};
 use crate::event::Event;
 
-/// First pause of a job whose tasks fail again and again.
+/// Base of the pause of a job after consecutive failures; doubles with each further one.
 const BACKOFF_BASE: Duration = Duration::from_secs(1);
-/// Longest such pause.
+/// Longest pause of a job after failures.
 const BACKOFF_CAP: Duration = Duration::from_secs(300);
-/// Failures in a row before a job is paused.
+/// Consecutive failures of a job's tasks that cause no pause.
 const FAILURES_FREE: u32 = 3;
 
-/// A worker's poll: what it runs, what ended.
+/// A worker's poll: its size, its running tasks and the tasks that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Poll {
-    /// Name.
+    /// Name of the worker.
     pub name: String,
-    /// Number that rises with each restart.
+    /// Incarnation number of the worker; rises with each restart.
     pub incarnation: u64,
-    /// Availability zone.
+    /// Availability zone of the worker.
     pub zone: String,
-    /// Rack.
+    /// Rack of the worker.
     pub rack: String,
-    /// What it has.
+    /// Total resources of the worker.
     pub size: Size,
-    /// Number of this poll; rises by one.
+    /// Sequence number of this poll within the incarnation; rises by one.
     pub number: u64,
-    /// Number of the latest answer that it has carried out.
+    /// Number of the latest [`Orders`] that the worker has carried out.
     pub seen: u64,
-    /// Everything that it runs.
+    /// All tasks that the worker runs.
     pub running: Vec<RunReport>,
-    /// Tasks that ended and were not acknowledged yet.
+    /// Tasks that ended and whose end has not been acknowledged.
     pub ended: Vec<EndReport>,
     /// Longest wait for orders, in milliseconds.
     #[serde(default)]
     pub wait_ms: u64,
 }
 
-/// A running task.
+/// Report of a running task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunReport {
-    /// Task.
+    /// Running task.
     pub task: Task,
-    /// Number of its run.
+    /// Attempt number from the order to start it.
     pub attempt: u64,
-    /// Size in the order to start it.
+    /// Reserved size from the order to start it.
     pub size: Size,
-    /// What it uses, if measured.
+    /// Measured resource usage, if known.
     #[serde(default)]
     pub used: Option<Size>,
 }
 
-/// An ended task.
+/// Report of a task that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndReport {
-    /// Task.
+    /// Task that ended.
     pub task: Task,
-    /// Number of its run.
+    /// Attempt number from the order to start it.
     pub attempt: u64,
-    /// Whether it ended well.
+    /// Whether it completed successfully.
     pub ok: bool,
-    /// Whether it was checkpointed or stopped on order.
+    /// Whether it ended because it was checkpointed, stopped on order, or its lease expired.
     #[serde(default)]
     pub evicted: bool,
 }
 
-/// How a task is made to use less.
+/// What a worker is to do with a running task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum How {
-    /// It ends at once.
+    /// End it immediately.
     Stop,
-    /// It saves its state and ends.
+    /// Let it save its state, then end it.
     Checkpoint,
-    /// It goes on with no more processors than reserved.
+    /// Limit it to its reserved processors.
     Throttle,
 }
 
@@ -92,15 +92,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Start {
-    /// Task.
+    /// Task to start.
     pub task: Task,
-    /// Number of this run.
+    /// Attempt number, which serves as the fencing token of this run.
     pub attempt: u64,
-    /// Team.
+    /// Team of the job.
     pub team: String,
     /// Name of the job.
     pub name: String,
-    /// Size reserved.
+    /// Resources reserved for the task.
     pub size: Size,
     /// Estimated run time in milliseconds; zero if it runs until stopped.
     pub run_ms: u64,
@@ -110,41 +110,42 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stop {
-    /// Task.
+    /// Task to end or throttle.
     pub task: Task,
-    /// Number of its run.
+    /// Attempt to which the order applies.
     pub attempt: u64,
-    /// How.
+    /// Action to take.
     pub how: How,
 }
 
-/// Answer to a poll.
+/// Answer to a poll: orders for the worker and a renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Orders {
-    /// Number of this answer.
+    /// Sequence number of this answer; rises also across changes of leader.
     pub number: u64,
-    /// The worker's tasks may run this long after the poll was sent, in
-    /// milliseconds.
+    /// Length of the worker's lease in milliseconds, counted from when it sent the poll.
     pub lease_ms: u64,
-    /// Tasks to start; ones that run already are not to be started again.
+    /// Tasks to start. An order is repeated until the worker reports the task, so tasks
+    /// that already run must not be started again.
     pub start: Vec<Start>,
     /// Tasks to end or throttle.
     pub stop: Vec<Stop>,
-    /// Ended tasks that need not be reported again.
+    /// Acknowledged ends, as task and attempt, which need not be reported again.
     pub ended: Vec<(Task, u64)>,
 }
 
 impl Fleet {
-    /// Takes a poll.
+    /// Handles a worker's poll: renews its lease and applies its reports.
     ///
     /// # Errors
     ///
-    /// Fails with [`Kind::BadAnnouncement`] if it is not credible or older than one
-    /// taken before.
+    /// Fails with [`Kind::BadAnnouncement`] if the name, rack or size is invalid, or if the
+    /// poll is not newer than the last one accepted from this worker.
     pub fn poll(&mut self, now: Moment, poll: &Poll) -> Result<()> {
         if !is_name(&poll.name) || !is_name(&poll.rack) || poll.size.cpu_milli == 0 {
-            let message = "a worker needs a name, a rack and processors";
+            let message =
+                "invalid poll: the worker needs a valid name, a valid rack and processors";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         let key = self.worker_of(now, poll)?;
@@ -170,7 +171,8 @@
         Ok(())
     }
 
-    /// Returns what to answer a worker's poll, if there is anything new to say.
+    /// Returns the orders that answer a worker's poll, and renews its lease. Returns `None`
+    /// if the worker is unknown, or if there are no new orders and `force` is not set.
     pub fn orders(&mut self, now: Moment, name: &str, force: bool) -> Option<Orders> {
         let key = *self.names.get(name)?;
         let worker = &mut self.workers[key.0 as usize];
@@ -180,7 +182,7 @@
         if !is_new && !force {
             return None;
         }
-        // Numbers of a later leader are above those of an earlier one.
+        // The term in the upper bits keeps numbers rising across changes of leader.
         worker.reply = (worker.reply + 1).max(self.term << 32);
         worker.lease_until = now + with_clock_margin(WORKER_LEASE);
         let number = worker.reply;
@@ -208,11 +210,11 @@
         let worker = &mut self.workers[key.0 as usize];
         let known = (worker.incarnation, worker.poll);
         if (poll.incarnation, poll.number) <= known {
-            let message = "a later poll of this worker was taken";
+            let message = "stale poll: a newer poll of this worker was already accepted";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         if poll.incarnation > worker.incarnation {
-            // Its tasks ended with its former process.
+            // The tasks of the previous incarnation ended with its process.
             self.lose_tasks(now, key, true);
             let worker = &mut self.workers[key.0 as usize];
             worker.incarnation = poll.incarnation;
@@ -238,7 +240,7 @@
                 .get(&end.task.job)
                 .is_some_and(|job| job.ending.contains(&end.task.index));
             let adopts = end.ok && self.adopt_end(key, end);
-            // Its acknowledgement follows once the registry holds it.
+            // An end that the registry has yet to record is acknowledged after that.
             if !is_ending && !adopts {
                 let worker = &mut self.workers[key.0 as usize];
                 worker.acks.push((end.task, end.attempt));
@@ -282,7 +284,7 @@
         }
     }
 
-    // A task that ended well under a predecessor of this leader.
+    // Accepts the successful end of a task that a previous leader placed.
     fn adopt_end(&mut self, key: WorkerKey, end: &EndReport) -> bool {
         let Some(job) = self.jobs.get_mut(&end.task.job) else {
             return false;
@@ -325,7 +327,7 @@
             });
             return;
         }
-        // Failures of a worker that fails everything don't count against the job.
+        // Failures on a worker that fails all its tasks do not count against the job.
         if !suspect && !quarantined {
             job.failures += 1;
             if job.failures > FAILURES_FREE {
@@ -338,7 +340,7 @@
         self.requeue(task);
     }
 
-    /// Puts a task back among those to be placed.
+    /// Queues a task for placement again, with a current size estimate.
     pub(super) fn requeue(&mut self, task: Task) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.size = self.estimates.size(&job.team, &job.spec);
@@ -370,7 +372,7 @@
         }
     }
 
-    // A task that a predecessor of this leader placed.
+    // Takes over a running task that a previous leader placed.
     fn adopt_run(&mut self, now: Moment, key: WorkerKey, run: &RunReport) -> bool {
         let Some(job) = self.jobs.get_mut(&run.task.job) else {
             return false;
@@ -384,8 +386,8 @@
         true
     }
 
-    // Tasks that the worker was told to run before its latest answer and that it
-    // neither runs nor has ended are gone.
+    // Queues tasks again that the worker should know of but does not report: those that it
+    // ran before, and those ordered in an answer that it has carried out.
     fn find_missing(&mut self, now: Moment, key: WorkerKey, poll: &Poll) {
         let worker = &self.workers[key.0 as usize];
         let reported: std::collections::BTreeSet<Task> = poll
@@ -432,7 +434,8 @@
         }
     }
 
-    // The tasks of a worker whose process or lease has ended run no longer.
+    // Gives up the tasks of a worker that restarted or whose lease expired, since they no
+    // longer run. After an expiry, tasks of jobs with `Unreachable::Keep` stay assigned.
     fn lose_tasks(&mut self, now: Moment, key: WorkerKey, restarted: bool) {
         let tasks: Vec<Task> = self.workers[key.0 as usize].tasks.keys().copied().collect();
         for task in tasks {
--- a/src/core/fleet/relief.rs
+++ b/src/core/fleet/relief.rs
@@ -1,11 +1,12 @@
-//! Workers whose tasks use more than was reserved for them.
+//! Relief of workers whose tasks use more resources than the worker has.
 
 use super::{Fleet, How, WorkerKey};
 use crate::core::job::{Class, Ended, Size, Task};
 use crate::core::time::Moment;
 
 impl Fleet {
-    /// Takes in what a task uses; its reservation grows with it while there is room.
+    /// Records a task's reported usage, and raises its reservation to it if the worker has
+    /// enough unreserved resources.
     pub(super) fn take_usage(&mut self, now: Moment, key: WorkerKey, task: Task, used: Size) {
         self.workers[key.0 as usize].used.insert(task, used);
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -33,8 +34,8 @@
         self.charge(now, &team, |running| running.plus(extra));
     }
 
-    /// Relieves a worker whose tasks together use more than it has: throttles when
-    /// processors are short, checkpoints when memory is.
+    /// Relieves a worker whose tasks together use more than it has: checkpoints a task if
+    /// memory is exceeded, throttles one if only processors are.
     pub(super) fn relieve(&mut self, key: WorkerKey) {
         let worker = &self.workers[key.0 as usize];
         let used = worker
@@ -50,10 +51,10 @@
             return;
         };
         if !over_memory {
-            self.evict(key, task, How::Throttle, "processors are short");
+            self.evict(key, task, How::Throttle, "CPU usage above capacity");
             return;
         }
-        self.evict(key, task, How::Checkpoint, "memory is short");
+        self.evict(key, task, How::Checkpoint, "memory usage above capacity");
         let largest = self
             .workers
             .iter()
@@ -72,7 +73,8 @@
         }
     }
 
-    // The task that exceeds its declared size most; services go last.
+    // Returns the task that exceeds its declared size most. Urgent tasks are chosen only
+    // after others, and services last.
     fn worst_overuser(&self, key: WorkerKey, by_memory: bool) -> Option<(Task, Size)> {
         let worker = &self.workers[key.0 as usize];
         let amount = |size: Size| {
--- a/src/core/fleet/worker.rs
+++ b/src/core/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! One worker as the zone leader sees it.
+//! State of a worker at the zone leader.
 
 use std::collections::BTreeMap;
 
@@ -9,88 +9,88 @@
 use crate::core::job::{Size, Task};
 use crate::core::time::Moment;
 
-/// A start that was ordered and not yet confirmed.
+/// Order to start a task that the worker has not confirmed yet.
 #[derive(Clone, Debug)]
 pub struct Ordered {
-    /// Order.
+    /// Order to send until it is confirmed.
     pub start: Start,
-    /// Number of the first answer that carried it, 0 before.
+    /// Number of the first answer that carried the order, or 0 if none has.
     pub reply: u64,
 }
 
-/// A worker.
+/// Lease, resources, tasks and pending orders of a worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// Name.
+    /// Name of the worker.
     pub name: String,
-    /// Number that rises with each restart.
+    /// Incarnation number; rises with each restart of the worker.
     pub incarnation: u64,
-    /// Rack, as a number of this leader.
+    /// Number that this leader has given to the worker's rack.
     pub rack: u32,
-    /// What it has.
+    /// Total resources.
     pub total: Size,
-    /// What its tasks have reserved.
+    /// Resources reserved for its tasks.
     pub reserved: Size,
-    /// When its lease surely ended, unless it polls before.
+    /// Time at which its lease has expired for certain, with the margin for clock drift.
     pub lease_until: Moment,
-    /// Whether its lease holds.
+    /// Whether its lease is valid.
     pub up: bool,
-    /// Tasks placed on it with their attempts.
+    /// Attempt numbers of the tasks placed on it.
     pub tasks: BTreeMap<Task, u64>,
-    /// Urgent tasks that wait for room on it.
+    /// Urgent tasks that wait for preempted tasks to end, with their sizes.
     pub held: BTreeMap<Task, Size>,
-    /// Room kept for tasks that start all at once.
+    /// Resources reserved for a gang that has not started.
     pub kept: Size,
-    /// Whether it gets nothing new until an all-at-once job has room.
+    /// Whether it accepts no other tasks until a gang starts.
     pub draining: bool,
-    /// Starts to order.
+    /// Orders to start tasks that it has not confirmed.
     pub starts: BTreeMap<Task, Ordered>,
-    /// Stops to order.
+    /// Orders to end or throttle tasks, by task and attempt.
     pub stops: BTreeMap<(Task, u64), How>,
-    /// Ends that the registry holds.
+    /// Ends to acknowledge in the next answer, as task and attempt.
     pub acks: Vec<(Task, u64)>,
-    /// Tasks of dropped jobs that still use it, with team and size.
+    /// Tasks of removed jobs that it may still run, with team and reserved size.
     pub orphans: BTreeMap<Task, (String, Size)>,
-    /// What its tasks use, as last reported.
+    /// Last reported resource usage of its tasks.
     pub used: BTreeMap<Task, Size>,
-    /// Failures.
+    /// Recent failures and quarantine.
     pub health: Health,
-    /// Number of its latest poll.
+    /// Sequence number of its latest poll.
     pub poll: u64,
-    /// Number of the latest answer.
+    /// Sequence number of the latest answer to it.
     pub reply: u64,
 }
 
-/// A worker as operators see it.
+/// Status of a worker as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerStat {
-    /// Name.
+    /// Name of the worker.
     pub name: String,
-    /// What it has.
+    /// Total resources.
     pub total: Size,
-    /// What its tasks have reserved.
+    /// Resources reserved for its tasks.
     pub reserved: Size,
-    /// Tasks on it.
+    /// Number of tasks placed on it.
     pub tasks: usize,
-    /// Whether its lease holds.
+    /// Whether its lease is valid.
     pub up: bool,
-    /// Whether it gets nothing new because of failures.
+    /// Whether it gets no new tasks because of failures.
     pub quarantined: bool,
 }
 
 impl Worker {
-    /// Returns whether its lease holds.
+    /// Returns whether the worker's lease is valid.
     pub const fn is_up(&self) -> bool {
         self.up
     }
 
-    /// Returns whether it may get new tasks.
+    /// Returns whether the worker accepts new tasks.
     pub const fn is_open(&self) -> bool {
         self.up && !self.draining && !self.health.is_quarantined()
     }
 
-    /// Returns what can be given to new tasks.
+    /// Returns the resources available to new tasks.
     pub fn free(&self) -> Size {
         let held = self
             .held
@@ -99,12 +99,12 @@
         self.total.minus(self.reserved).minus(held).minus(self.kept)
     }
 
-    /// Returns how many tasks of a size fit when it is empty.
+    /// Returns how many tasks of a size the worker can run when it is empty.
     pub fn times_fits(&self, need: Size) -> u64 {
         Self::times(self.total, need)
     }
 
-    /// Returns how many tasks of a size fit into an amount.
+    /// Returns how many tasks of a size fit into the given resources.
     pub fn times(amount: Size, need: Size) -> u64 {
         let times = |amount: u64, need: u64| amount.checked_div(need).unwrap_or(u64::MAX);
         times(amount.cpu_milli, need.cpu_milli)
@@ -113,18 +113,18 @@
             .min(u64::from(u32::MAX))
     }
 
-    /// Orders a task to start.
+    /// Adds an order to start a task.
     pub fn order_start(&mut self, start: Start) {
         let task = start.task;
         self.starts.insert(task, Ordered { start, reply: 0 });
     }
 
-    /// Orders a task to stop.
+    /// Adds an order to end or throttle a task.
     pub fn order_stop(&mut self, task: Task, attempt: u64, how: How) {
         self.stops.insert((task, attempt), how);
     }
 
-    /// Returns the stops to order.
+    /// Returns the orders to end or throttle tasks.
     pub fn stop_orders(&self) -> Vec<Stop> {
         self.stops
             .iter()
@@ -132,7 +132,7 @@
             .collect()
     }
 
-    /// Returns its figures.
+    /// Returns the worker's status for operators.
     pub fn stat(&self) -> WorkerStat {
         WorkerStat {
             name: self.name.clone(),
