--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of single decisions, each with a bound taken from a stated target.
+//! Benchmarks of single operations, each with a bound derived from a performance target.
 //!
 //! `cargo bench --bench decisions` fails if a bound is exceeded.
 
@@ -25,7 +25,7 @@
 
 const START: Moment = Moment::from_millis(1_000_000);
 
-/// A bound and the target that it is taken from.
+/// Upper bound on the median time of a benchmark, and the target it is derived from.
 struct Bound {
     name: &'static str,
     most: Duration,
@@ -66,12 +66,12 @@
     Bound {
         name: "merge_220_teams",
         most: Duration::from_millis(7),
-        source: "a thousandth of 7 s from push to in force",
+        source: "a thousandth of the 7 s for a push to take effect",
     },
     Bound {
         name: "open_a_full_log",
         most: Duration::from_secs(2),
-        source: "back in under 2 s after 100,000 changes",
+        source: "recovery in under 2 s after 100,000 changes",
     },
 ];
 
@@ -107,7 +107,8 @@
     gate
 }
 
-// Admits, chooses an upstream and ends, with half of the slots in use.
+// Measures admission, choice of an upstream and completion of a request while half of all
+// slots are in use.
 fn request(c: &mut Criterion, name: &str, upstreams: u16) {
     let mut gate = gate(upstreams);
     let service = gate.service("s").expect("known");
@@ -175,7 +176,7 @@
     }
 }
 
-// Carries messages between three replicas until all is quiet.
+// Delivers messages between three replicas until none are left.
 fn exchange(replicas: &mut [Replica; 3], now: Moment) {
     loop {
         let mut messages: Vec<Raft> = Vec::new();
@@ -265,7 +266,8 @@
     });
 }
 
-// What is on a disk at most: a snapshot of some megabytes and the entries since.
+// Opens a log of the largest expected size: a snapshot of 8 MiB and the 4,096 entries that
+// follow it.
 fn recovery(c: &mut Criterion) {
     let path = std::env::temp_dir().join(format!(
         "plantaincross-bench-{:016x}",
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,5 +1,5 @@
-//! Placement over whole workloads against a naive baseline, first come and first
-//! fit, and an offline first-fit-decreasing packing.
+//! Benchmarks of task placement: throughput, latency, packing and fairness. Compares with
+//! first come, first fit as the baseline and with offline first-fit-decreasing packing.
 //!
 //! `cargo bench --bench placement` fails if a bound is exceeded.
 
@@ -97,7 +97,8 @@
     }
 }
 
-/// Workers that do at once what they are told; tasks run as long as they say.
+/// Simulated workers that carry out orders at once and run each task for its estimated
+/// run time.
 struct Machines {
     running: Vec<BTreeMap<Task, (RunReport, Moment)>>,
     ended: Vec<Vec<EndReport>>,
@@ -178,7 +179,7 @@
     p99: Duration,
 }
 
-/// Fills a fleet with tasks and measures the ticks that place them.
+/// Fills a fleet with tasks, then measures the ticks that each place one more.
 fn place(workers: usize, teams: usize, running: u32, measured: u32) -> Figures {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut fleet = fleet(workers, teams);
@@ -209,7 +210,7 @@
         fleet.tick(now);
     }
     let _ = fleet.take_events();
-    // One placement a tick: its time is the time of one decision.
+    // Each tick places one task, so its duration is the latency of one decision.
     let mut times = Histogram::<u64>::new(3).expect("valid bounds");
     let mut spent = Duration::ZERO;
     let before = fleet.counts().0;
@@ -231,7 +232,7 @@
     }
 }
 
-/// Packs tasks into a full fleet; yields the processors in use.
+/// Places more tasks than fit and returns the reserved processors, in thousandths.
 fn pack(workers: usize, sizes: &[Size]) -> u64 {
     let mut fleet = fleet(workers, 1);
     for (at, size) in sizes.iter().enumerate() {
@@ -247,7 +248,7 @@
     fleet.workers().map(|w| w.stat().reserved.cpu_milli).sum()
 }
 
-/// First come, first fit, without any index.
+/// Packs tasks by first come, first fit and returns the used processors, in thousandths.
 fn first_fit(workers: usize, sizes: &[Size]) -> u64 {
     let mut free: Vec<Size> = (0..workers)
         .map(|at| worker_size(at, workers / 4))
@@ -269,8 +270,8 @@
     first_fit(workers, &sizes)
 }
 
-/// Runs a full fleet for a while under three teams with unlike demand; yields the
-/// largest shortfall from its share in slot time, for ours and for first come.
+/// Runs an overloaded fleet with three teams of different demand, and returns the largest
+/// shortfall of a team from its share of task time. With `first_come`, arrival order decides.
 fn nearness(first_come: bool) -> f64 {
     let workers = 48;
     let mut fleet = fleet(workers, 3);
@@ -282,7 +283,7 @@
     let mut waiting: Vec<usize> = Vec::new();
     for step in 0..3_000 {
         now = now + STEP;
-        // The first team sends by far the most.
+        // The first team submits three times as many tasks as each of the others.
         for team in 0..3 {
             let count = [24, 8, 8][team];
             for _ in 0..count {
@@ -296,7 +297,7 @@
                 let run = rng.random_range(3_000..9_000);
                 let mut job = job(id, team, Class::Batch, 1, size, run);
                 if first_come {
-                    // All in one team's queue: the order of arrival decides.
+                    // In a single team's queue, jobs are placed in order of arrival.
                     job.team = "t0".to_owned();
                     job.spec.name = format!("as-{team}");
                 }
@@ -350,7 +351,7 @@
 }
 
 fn main() -> ExitCode {
-    // `cargo test --benches` only asks whether it starts.
+    // `cargo test --benches` only checks that the program starts.
     if std::env::args().any(|arg| arg == "--test") {
         return ExitCode::SUCCESS;
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! The task plane under seeded workloads: silent, restarted and failing workers,
-//! lost answers, wrong sizes, waves of cancellations, changes of leader.
+//! Simulates the task scheduler of a zone with seeded random workloads and faults: silent,
+//! restarted and failing workers, lost polls and answers, wrong sizes, mass cancellations
+//! and changes of leader.
 //!
 //! A longer run: `SCHEDULES=2000 cargo test --release --test fleet`.
 
@@ -31,7 +32,7 @@
     size: Size,
 }
 
-/// A worker that keeps the rules of the platform's protocol.
+/// A simulated worker that follows the worker protocol.
 struct Machine {
     name: String,
     size: Size,
@@ -214,7 +215,7 @@
         }
     }
 
-    // What a task really uses: its declared size, or up to ten times off it.
+    // The usage of a task: its declared size, or from a tenth to ten times that.
     fn real_size(&self, task: Task) -> Size {
         let declared = self
             .table
@@ -243,7 +244,7 @@
             failures: 0,
         };
         let Outcome::Submitted(id) = self.table.submit(&job) else {
-            panic!("not submitted");
+            panic!("the registry did not accept the job");
         };
         id
     }
@@ -287,7 +288,7 @@
                 self.quarantined.push(worker);
             }
         }
-        // The registry holds ends a little later.
+        // Delays the registry's record of ended tasks at random.
         if self.rng.random() {
             let ends = std::mem::take(&mut self.unproposed);
             self.table.end(&ends);
@@ -322,7 +323,9 @@
     fn settle(&mut self) {
         for (team, units) in self.fleet.return_stock() {
             let taken = self.taken.entry(team).or_default();
-            *taken = taken.checked_sub(units).expect("returns what was taken");
+            *taken = taken
+                .checked_sub(units)
+                .expect("at most the granted units are returned");
         }
     }
 
@@ -345,14 +348,14 @@
         for (task, count) in places {
             assert!(
                 count <= 1,
-                "seed {seed}: task {task} runs in {count} places"
+                "seed {seed}: task {task} runs on {count} workers"
             );
         }
         for worker in self.fleet.workers() {
             let stat = worker.stat();
             assert!(
                 stat.total.fits(stat.reserved),
-                "seed {seed}: {} has {:?} of {:?} reserved",
+                "seed {seed}: worker {} has reserved {:?} of {:?}",
                 stat.name,
                 stat.reserved,
                 stat.total
@@ -368,7 +371,7 @@
                 .fold(Size::default(), |sum, run| sum.plus(run.used));
             assert!(
                 machine.size.fits(used),
-                "seed {seed}: {} runs {used:?}",
+                "seed {seed}: the tasks of worker {} use {used:?}, more than it has",
                 machine.name
             );
         }
@@ -383,7 +386,11 @@
             }
         }
         for (team, count) in running {
-            assert!(count <= LIMIT, "seed {}: {team} runs {count}", self.seed);
+            assert!(
+                count <= LIMIT,
+                "seed {}: team {team} runs {count} tasks, over its limit of {LIMIT}",
+                self.seed
+            );
         }
     }
 
@@ -398,7 +405,7 @@
             1 => self.machines[at].restart(),
             2 => self.change_leader(),
             3 => {
-                // A wave of cancellations.
+                // Cancels about a third of the open jobs.
                 let open: Vec<Id> = self.table.open().map(|job| job.id).collect();
                 for id in open {
                     if self.rng.random_ratio(1, 3) {
@@ -466,7 +473,7 @@
         if step % 10 == 0 {
             let team = TEAMS[world.rng.random_range(0..TEAMS.len())];
             let spec = world.random_spec();
-            // What can never run is refused before it is registered.
+            // Jobs that can never run are rejected before they are registered.
             if world.fleet.misfit(&spec).is_none() {
                 world.submit(team, spec);
             }
@@ -475,7 +482,7 @@
         world.step(true);
         world.check_limits();
     }
-    // Everything that was accepted ends whole or was cancelled.
+    // Every accepted job must complete all its tasks or have been cancelled.
     for machine in &mut world.machines {
         machine.silent_until = START;
     }
@@ -545,7 +552,7 @@
         world.step(false);
     }
     let failed: u32 = world.machines.iter().map(|m| m.failed).sum();
-    assert!(failed < 20, "{failed} starts in a minute");
+    assert!(failed < 20, "{failed} failed starts in a minute");
     let explanation = world.fleet.explain(world.now, id).expect("open");
     assert!(
         explanation
@@ -618,8 +625,8 @@
             .count();
         small += usize::from(count > 0 && count < 6);
         if world.table.get(id).is_some_and(|j| j.state == State::Done) {
-            // Tasks of one job start and end within a few ticks of each other.
-            assert!(small <= 6, "{small} steps with a part of the tasks");
+            // The workers of a gang start and end its tasks at polls a few ticks apart.
+            assert!(small <= 6, "{small} steps with only some tasks running");
             return;
         }
     }
@@ -649,7 +656,7 @@
             over += u32::from(used.memory_mb > machine.size.memory_mb);
         }
     }
-    assert!(over < 60, "{over} times a worker stood over its memory");
+    assert!(over < 60, "workers exceeded their memory in {over} samples");
     assert!(
         world.table.open().next().is_none(),
         "{:?}",
--- a/tests/tasks.rs
+++ b/tests/tasks.rs
@@ -1,5 +1,5 @@
-//! The task plane with real daemons and stand-in workers, through deaths and
-//! pauses of leaders.
+//! Runs the task scheduler with real daemons and simulated workers, through crashes and
+//! pauses of zone leaders.
 
 mod support;
 
@@ -51,7 +51,10 @@
         if let Some(submitted) = submit(cell, at, id, tasks).await {
             return submitted;
         }
-        assert!(started.elapsed() < PATIENCE, "{id} is not accepted");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "job {id} was not accepted in time"
+        );
         sleep(Duration::from_millis(100)).await;
     }
 }
@@ -65,7 +68,10 @@
         if shown.as_ref().is_ok_and(|job| job.ended == tasks) {
             return;
         }
-        assert!(started.elapsed() < PATIENCE, "{shown:?}");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "the job did not complete in time: {shown:?}"
+        );
         sleep(Duration::from_millis(200)).await;
     }
 }
@@ -91,11 +97,11 @@
     sleep(Duration::from_secs(3)).await;
     cell.resume(paused);
     wait_done(&cell, witness, &third, 40).await;
-    // The same submission again is the same job.
+    // Submitting with the same idempotency key again returns the same job.
     let again = submit_until_accepted(&cell, witness, "three", 40).await;
     assert_eq!(again.id, third.id);
     let record = record.lock().expect("record");
-    assert_eq!(record.most, 1, "a task ran in {} places", record.most);
+    assert_eq!(record.most, 1, "a task ran on {} workers", record.most);
     assert_eq!(record.ended, 120);
 }
 
