--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -28,50 +28,50 @@
 /// Upper bound on the median time of a benchmark, and the target it is derived from.
 struct Bound {
     name: &'static str,
-    most: Duration,
-    source: &'static str,
+    limit: Duration,
+    target: &'static str,
 }
 
 const BOUNDS: &[Bound] = &[
     Bound {
         name: "request_at_48_upstreams",
-        most: Duration::from_micros(10),
-        source: "a decision under 10 us at 48 upstreams",
+        limit: Duration::from_micros(10),
+        target: "a decision under 10 us at 48 upstreams",
     },
     Bound {
         name: "request_at_3000_upstreams",
-        most: Duration::from_micros(625),
-        source: "10 us x 3000/48: less than linear growth",
+        limit: Duration::from_micros(625),
+        target: "10 us x 3000/48: less than linear growth",
     },
     Bound {
         name: "claim",
-        most: Duration::from_micros(10),
-        source: "part of a decision under 10 us",
+        limit: Duration::from_micros(10),
+        target: "part of a decision under 10 us",
     },
     Bound {
         name: "divide_220_teams",
-        most: Duration::from_micros(900),
-        source: "1.8 % of a core at one division in 50 ms",
+        limit: Duration::from_micros(900),
+        target: "1.8 % of a core at one division in 50 ms",
     },
     Bound {
         name: "agree_on_one_command",
-        most: Duration::from_micros(47),
-        source: "1.8 % of a core at 380 task starts a second",
+        limit: Duration::from_micros(47),
+        target: "1.8 % of a core at 380 task starts a second",
     },
     Bound {
         name: "frame_of_64_entries",
-        most: Duration::from_micros(180),
-        source: "1.8 % of a core at 100 messages a second",
+        limit: Duration::from_micros(180),
+        target: "1.8 % of a core at 100 messages a second",
     },
     Bound {
         name: "merge_220_teams",
-        most: Duration::from_millis(7),
-        source: "a thousandth of the 7 s for a push to take effect",
+        limit: Duration::from_millis(7),
+        target: "a thousandth of the 7 s for a push to take effect",
     },
     Bound {
         name: "open_a_full_log",
-        most: Duration::from_secs(2),
-        source: "recovery in under 2 s after 100,000 changes",
+        limit: Duration::from_secs(2),
+        target: "recovery in under 2 s after 100,000 changes",
     },
 ];
 
@@ -157,7 +157,7 @@
     });
 }
 
-fn division(c: &mut Criterion) {
+fn share_division(c: &mut Criterion) {
     let claimants: Vec<Claimant> = (0..220)
         .map(|at| Claimant {
             weight: f64::from(1 + at % 7),
@@ -177,7 +177,7 @@
 }
 
 // Delivers messages between three replicas until none are left.
-fn exchange(replicas: &mut [Replica; 3], now: Moment) {
+fn deliver_all(replicas: &mut [Replica; 3], now: Moment) {
     loop {
         let mut messages: Vec<Raft> = Vec::new();
         for replica in replicas.iter_mut() {
@@ -197,21 +197,21 @@
     }
 }
 
-fn agreement(c: &mut Criterion) {
+fn consensus_round(c: &mut Criterion) {
     let mut now = START;
     let mut replicas = [1, 2, 3].map(|id| Replica::new(id, "r", true, Stored::default(), now, id));
     replicas[0].found(now, vec![voter(1), voter(2), voter(3)]);
     while !replicas[0].is_leader() {
         now = now + Duration::from_millis(100);
         replicas[0].tick(now);
-        exchange(&mut replicas, now);
+        deliver_all(&mut replicas, now);
     }
     let command = Bytes::from(vec![7; 100]);
     c.bench_function("agree_on_one_command", |b| {
         b.iter(|| {
             now = now + Duration::from_micros(100);
             let index = replicas[0].propose(command.clone()).expect("leads");
-            exchange(&mut replicas, now);
+            deliver_all(&mut replicas, now);
             assert!(replicas[0].commit() >= index);
             if replicas[0].log().len() > 4_000 {
                 for replica in &mut replicas {
@@ -305,7 +305,7 @@
     let _ = std::fs::remove_dir_all(&path);
 }
 
-fn measured(name: &str) -> Option<Duration> {
+fn read_median(name: &str) -> Option<Duration> {
     let target = std::env::var("CARGO_TARGET_DIR").unwrap_or_else(|_| "target".to_owned());
     let path = Path::new(&target)
         .join("criterion")
@@ -326,32 +326,36 @@
     request(&mut criterion, "request_at_48_upstreams", 48);
     request(&mut criterion, "request_at_3000_upstreams", 3_000);
     claim(&mut criterion);
-    division(&mut criterion);
-    agreement(&mut criterion);
+    share_division(&mut criterion);
+    consensus_round(&mut criterion);
     codec(&mut criterion);
     configuration(&mut criterion);
     recovery(&mut criterion);
     criterion.final_summary();
-    let mut within = true;
+    let mut within_bounds = true;
     println!(
         "\n{:<28}{:>14}{:>14}  bound from",
         "decision", "median", "bound"
     );
     for bound in BOUNDS {
-        let Some(median) = measured(bound.name) else {
+        let Some(median) = read_median(bound.name) else {
             continue;
         };
-        let mark = if median > bound.most { "EXCEEDED " } else { "" };
-        within &= median <= bound.most;
+        let mark = if median > bound.limit {
+            "EXCEEDED "
+        } else {
+            ""
+        };
+        within_bounds &= median <= bound.limit;
         println!(
             "{:<28}{:>14}{:>14}  {mark}{}",
             bound.name,
             format!("{median:.2?}"),
-            format!("{:.2?}", bound.most),
-            bound.source
+            format!("{:.2?}", bound.limit),
+            bound.target
         );
     }
-    if within {
+    if within_bounds {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -99,23 +99,23 @@
 
 /// Simulated workers that carry out orders at once and run each task for its estimated
 /// run time.
-struct Machines {
+struct SimWorkers {
     running: Vec<BTreeMap<Task, (RunReport, Moment)>>,
     ended: Vec<Vec<EndReport>>,
-    numbers: Vec<(u64, u64)>,
+    sequences: Vec<(u64, u64)>,
 }
 
-impl Machines {
+impl SimWorkers {
     fn new(count: usize) -> Self {
         Self {
             running: (0..count).map(|_| BTreeMap::new()).collect(),
             ended: vec![Vec::new(); count],
-            numbers: vec![(1, 0); count],
+            sequences: vec![(1, 0); count],
         }
     }
 
-    fn take(&mut self, now: Moment, at: usize, orders: Orders) {
-        self.numbers[at].1 = orders.number;
+    fn apply_orders(&mut self, now: Moment, at: usize, orders: Orders) {
+        self.sequences[at].1 = orders.number;
         self.ended[at].retain(|e| !orders.ended.contains(&(e.task, e.attempt)));
         for start in orders.start {
             if self.ended[at].iter().any(|e| e.task == start.task) {
@@ -152,8 +152,8 @@
                 evicted: false,
             });
         }
-        self.numbers[at].0 += 1;
-        let (number, seen) = self.numbers[at];
+        self.sequences[at].0 += 1;
+        let (number, seen) = self.sequences[at];
         let running: Vec<RunReport> = self.running[at].values().map(|(r, _)| r.clone()).collect();
         poll(
             at,
@@ -166,21 +166,21 @@
     }
 }
 
-fn supply(fleet: &mut Fleet) {
+fn grant_units(fleet: &mut Fleet) {
     let _ = fleet.return_stock();
     for (team, wanted) in fleet.wanted_units() {
         fleet.add_units(&team, wanted, wanted);
     }
 }
 
-struct Figures {
+struct Timing {
     placed: usize,
     seconds: f64,
     p99: Duration,
 }
 
 /// Fills a fleet with tasks, then measures the ticks that each place one more.
-fn place(workers: usize, teams: usize, running: u32, measured: u32) -> Figures {
+fn measure_placement(workers: usize, teams: usize, running: u32, measured: u32) -> Timing {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut fleet = fleet(workers, teams);
     let mut id = 0;
@@ -200,40 +200,40 @@
             add(&mut fleet, now, 8, &mut rng);
         }
         for _ in 0..4 {
-            supply(&mut fleet);
+            grant_units(&mut fleet);
             fleet.tick(now);
         }
         let _ = fleet.take_events();
     }
     while fleet.counts().1 > 0 {
-        supply(&mut fleet);
+        grant_units(&mut fleet);
         fleet.tick(now);
     }
     let _ = fleet.take_events();
     // Each tick places one task, so its duration is the latency of one decision.
     let mut times = Histogram::<u64>::new(3).expect("valid bounds");
-    let mut spent = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     let before = fleet.counts().0;
     for _ in 0..measured {
         now = now + Duration::from_micros(100);
         add(&mut fleet, now, 1, &mut rng);
-        supply(&mut fleet);
+        grant_units(&mut fleet);
         let started = Instant::now();
         fleet.tick(now);
         let took = started.elapsed();
-        spent += took;
+        elapsed += took;
         times.record(took.as_nanos() as u64).expect("resizes");
         let _ = fleet.take_events();
     }
-    Figures {
+    Timing {
         placed: fleet.counts().0 - before,
-        seconds: spent.as_secs_f64(),
+        seconds: elapsed.as_secs_f64(),
         p99: Duration::from_nanos(times.value_at_quantile(0.99)),
     }
 }
 
 /// Places more tasks than fit and returns the reserved processors, in thousandths.
-fn pack(workers: usize, sizes: &[Size]) -> u64 {
+fn packed_processors(workers: usize, sizes: &[Size]) -> u64 {
     let mut fleet = fleet(workers, 1);
     for (at, size) in sizes.iter().enumerate() {
         fleet.add_job(
@@ -242,7 +242,7 @@
         );
     }
     for _ in 0..sizes.len() / 8 {
-        supply(&mut fleet);
+        grant_units(&mut fleet);
         fleet.tick(START);
     }
     fleet.workers().map(|w| w.stat().reserved.cpu_milli).sum()
@@ -272,15 +272,15 @@
 
 /// Runs an overloaded fleet with three teams of different demand, and returns the largest
 /// shortfall of a team from its share of task time. With `first_come`, arrival order decides.
-fn nearness(first_come: bool) -> f64 {
+fn largest_shortfall(first_come: bool) -> f64 {
     let workers = 48;
     let mut fleet = fleet(workers, 3);
-    let mut machines = Machines::new(workers);
+    let mut sim_workers = SimWorkers::new(workers);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut used = [0.0; 3];
     let mut id = 0;
     let mut now = START;
-    let mut waiting: Vec<usize> = Vec::new();
+    let mut team_by_job: Vec<usize> = Vec::new();
     for step in 0..3_000 {
         now = now + STEP;
         // The first team submits three times as many tasks as each of the others.
@@ -288,7 +288,7 @@
             let count = [24, 8, 8][team];
             for _ in 0..count {
                 id += 1;
-                waiting.push(team);
+                team_by_job.push(team);
                 let size = Size {
                     cpu_milli: 2_000,
                     memory_mb: 4_096,
@@ -304,26 +304,26 @@
                 fleet.add_job(now, &job);
             }
         }
-        supply(&mut fleet);
+        grant_units(&mut fleet);
         fleet.tick(now);
         for at in 0..workers {
-            let poll = machines.poll(now, at);
+            let poll = sim_workers.poll(now, at);
             fleet.poll(now, &poll).expect("taken");
             for end in fleet.take_ended() {
                 fleet.confirm_end(end.task);
                 fleet.drop_job(now, end.task.job);
             }
             if let Some(orders) = fleet.orders(now, &format!("w{at}"), true) {
-                machines.take(now, at, orders);
+                sim_workers.apply_orders(now, at, orders);
             }
         }
         let _ = fleet.take_events();
         if step < 500 {
             continue;
         }
-        for tasks in &machines.running {
+        for tasks in &sim_workers.running {
             for task in tasks.keys() {
-                used[waiting[task.job.0 as usize - 1]] += 1.0;
+                used[team_by_job[task.job.0 as usize - 1]] += 1.0;
             }
         }
     }
@@ -338,11 +338,11 @@
         .fold(0.0, f64::max)
 }
 
-struct Check {
+struct Report {
     within: bool,
 }
 
-impl Check {
+impl Report {
     fn row(&mut self, name: &str, value: &str, bound: &str, ok: bool) {
         self.within &= ok;
         let mark = if ok { "" } else { "  EXCEEDED" };
@@ -355,7 +355,7 @@
     if std::env::args().any(|arg| arg == "--test") {
         return ExitCode::SUCCESS;
     }
-    let mut check = Check { within: true };
+    let mut report = Report { within: true };
     let sizes = [
         (48, 6, 600, 5_000.0, "5,000 a second"),
         (500, 220, 7_000, 380.0, "380 a second"),
@@ -363,24 +363,24 @@
     ];
     let mut costs = Vec::new();
     for (workers, teams, running, rate, bound) in sizes {
-        let figures = place(workers, teams, running, 2_000);
-        let each = figures.seconds / f64::from(2_000);
-        costs.push(each);
-        let per_second = figures.placed as f64 / figures.seconds;
-        check.row(
+        let timing = measure_placement(workers, teams, running, 2_000);
+        let mean = timing.seconds / f64::from(2_000);
+        costs.push(mean);
+        let per_second = timing.placed as f64 / timing.seconds;
+        report.row(
             &format!("placements a second, {workers} workers, {running} running"),
             &format!("{per_second:.0}"),
             bound,
             per_second >= rate,
         );
-        check.row(
+        report.row(
             &format!("decision p99, {workers} workers"),
-            &format!("{:.1?}", figures.p99),
+            &format!("{:.1?}", timing.p99),
             "5 ms",
-            figures.p99 <= Duration::from_millis(5),
+            timing.p99 <= Duration::from_millis(5),
         );
     }
-    check.row(
+    report.row(
         "growth of cost from 48 to 3,000 workers",
         &format!("{:.1} x", costs[2] / costs[0]),
         "62.5 x (linear)",
@@ -388,37 +388,37 @@
     );
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let tasks: Vec<Size> = (0..4_000).map(|_| task_size(&mut rng)).collect();
-    let (ours, naive, offline) = (
-        pack(48, &tasks),
+    let (measured, naive, offline) = (
+        packed_processors(48, &tasks),
         first_fit(48, &tasks),
         first_fit_decreasing(48, &tasks),
     );
-    check.row(
+    report.row(
         "processors packed, part of offline FFD",
-        &format!("{:.1} %", ours as f64 / offline as f64 * 100.0),
+        &format!("{:.1} %", measured as f64 / offline as f64 * 100.0),
         "90 %",
-        ours * 10 >= offline * 9,
+        measured * 10 >= offline * 9,
     );
-    check.row(
+    report.row(
         "  the same by first come, first fit",
         &format!("{:.1} %", naive as f64 / offline as f64 * 100.0),
         "baseline",
         true,
     );
-    let (ours, naive) = (nearness(false), nearness(true));
-    check.row(
+    let (measured, naive) = (largest_shortfall(false), largest_shortfall(true));
+    report.row(
         "largest shortfall from share on a full fleet",
-        &format!("{:.1} %", ours * 100.0),
+        &format!("{:.1} %", measured * 100.0),
         "5 %",
-        ours <= 0.05,
+        measured <= 0.05,
     );
-    check.row(
+    report.row(
         "  the same by first come, first fit",
         &format!("{:.1} %", naive * 100.0),
         "baseline",
         true,
     );
-    if check.within {
+    if report.within {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/src/core/fleet/estimate.rs
+++ b/src/core/fleet/estimate.rs
@@ -5,27 +5,27 @@
 use crate::core::job::{Size, Spec};
 
 /// Usage reports after which the reservation may be below the declared size.
-const SAMPLES_MIN: u32 = 8;
+const REPORTS_MIN: u32 = 8;
 /// Reserved size in percent of the estimated peak.
-const MARGIN_PERCENT: u64 = 110;
+const RESERVED_PERCENT_OF_PEAK: u64 = 110;
 /// Most estimates that are kept; all are discarded when it is reached.
-const LIKENESSES_MAX: usize = 20_000;
+const ESTIMATES_MAX: usize = 20_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     peak: Size,
-    samples: u32,
+    reports: u32,
 }
 
 /// Key of jobs whose tasks are assumed to have similar usage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Likeness {
+struct Key {
     team: String,
     name: String,
     declared: Size,
 }
 
-impl Likeness {
+impl Key {
     fn of(team: &str, spec: &Spec) -> Self {
         Self {
             team: team.to_owned(),
@@ -38,18 +38,18 @@
 /// Estimated peak usage of tasks.
 #[derive(Debug, Default)]
 pub struct Estimates {
-    peaks: HashMap<Likeness, Estimate>,
+    peaks: HashMap<Key, Estimate>,
 }
 
 impl Estimates {
     /// Records a task's reported usage. A higher peak applies at once; the peak decays by
     /// 1/128 per report.
     pub fn record(&mut self, team: &str, spec: &Spec, used: Size) {
-        if self.peaks.len() >= LIKENESSES_MAX {
+        if self.peaks.len() >= ESTIMATES_MAX {
             self.peaks.clear();
         }
-        let estimate = self.peaks.entry(Likeness::of(team, spec)).or_default();
-        estimate.samples = estimate.samples.saturating_add(1);
+        let estimate = self.peaks.entry(Key::of(team, spec)).or_default();
+        estimate.reports = estimate.reports.saturating_add(1);
         let decay = |old: u64, new: u64| new.max(old - old / 128);
         estimate.peak = Size {
             cpu_milli: decay(estimate.peak.cpu_milli, used.cpu_milli),
@@ -62,14 +62,14 @@
     /// estimate needs it, below it only after enough reports.
     pub fn size(&self, team: &str, spec: &Spec) -> Size {
         let declared = spec.size;
-        let Some(estimate) = self.peaks.get(&Likeness::of(team, spec)) else {
+        let Some(estimate) = self.peaks.get(&Key::of(team, spec)) else {
             return declared;
         };
-        let with_margin = |peak: u64| (peak * MARGIN_PERCENT).div_ceil(100);
+        let reserved_for = |peak: u64| (peak * RESERVED_PERCENT_OF_PEAK).div_ceil(100);
         let corrected = |declared: u64, peak: u64| {
-            let needed = with_margin(peak).max(1);
-            if needed > declared || estimate.samples >= SAMPLES_MIN {
-                needed
+            let estimated = reserved_for(peak).max(1);
+            if estimated > declared || estimate.reports >= REPORTS_MIN {
+                estimated
             } else {
                 declared
             }
--- a/src/core/fleet/explain.rs
+++ b/src/core/fleet/explain.rs
@@ -96,9 +96,9 @@
                 millis: self.settled_at.since(now).as_millis() as u64,
             });
         }
-        let kept = job.placed.values().filter(|p| p.kept).count();
-        if kept > 0 {
-            reasons.push(Reason::Unreachable { tasks: kept });
+        let unreachable = job.placed.values().filter(|p| p.awaits_worker).count();
+        if unreachable > 0 {
+            reasons.push(Reason::Unreachable { tasks: unreachable });
         }
         if !job.waiting.is_empty() {
             self.explain_waiting(now, id, &mut reasons);
@@ -118,16 +118,18 @@
                 failures: job.failures,
             });
         }
-        if let Some(hold) = &self.hold
+        if let Some(reservation) = &self.reservation
             && job.spec.class == Class::AllAtOnce
         {
-            reasons.push(if hold.job == id {
+            reasons.push(if reservation.job == id {
                 Reason::Gathering {
-                    room: hold.room.len(),
+                    room: reservation.assignments.len(),
                     tasks: job.waiting.len(),
                 }
             } else {
-                Reason::Behind { job: hold.job }
+                Reason::Behind {
+                    job: reservation.job,
+                }
             });
         }
         let quarantined = self
@@ -140,13 +142,13 @@
                 workers: quarantined,
             });
         }
-        if self.index().tightest(job.size).is_none() {
+        if self.index().best_fit(job.size).is_none() {
             reasons.push(Reason::Size {
                 cpu_milli: job.size.cpu_milli,
                 memory_mb: job.size.memory_mb,
                 accelerators: job.size.accelerators,
             });
-        } else if self.starved.contains(&job.team) {
+        } else if self.teams_at_limit.contains(&job.team) {
             reasons.push(Reason::Limit);
         } else if reasons.is_empty() {
             reasons.push(Reason::Share);
--- a/src/core/fleet/gang.rs
+++ b/src/core/fleet/gang.rs
@@ -7,22 +7,22 @@
 use crate::core::time::Moment;
 
 /// Waiting time after which resources are reserved for a gang that does not fit.
-const PATIENCE: Duration = Duration::from_secs(2);
+const RESERVATION_DELAY: Duration = Duration::from_secs(2);
 /// Longest time for which resources stay reserved for one gang before it goes to the end
 /// of the queue.
-const HOLD_MAX: Duration = Duration::from_secs(120);
+const RESERVATION_MAX: Duration = Duration::from_secs(120);
 /// Gangs that are tried per tick.
-const JOBS_TRIED: usize = 4;
+const GANGS_PER_TICK_MAX: usize = 4;
 
 /// Resources reserved for a gang that does not fit yet.
 #[derive(Debug)]
-pub struct Hold {
+pub struct Reservation {
     /// Job of the gang.
     pub job: Id,
     /// Time at which the reservation began.
     pub since: Moment,
     /// Worker and reserved size of each task that fits so far.
-    pub room: Vec<(WorkerKey, Size)>,
+    pub assignments: Vec<(WorkerKey, Size)>,
     /// Workers that accept no other tasks until the gang starts.
     pub drained: Vec<WorkerKey>,
 }
@@ -30,15 +30,15 @@
 impl Fleet {
     /// Starts gangs that fit, and reserves resources for the first one that does not.
     pub(super) fn place_gangs(&mut self, now: Moment) {
-        if let Some(hold) = &self.hold
-            && now.since(hold.since) > HOLD_MAX
+        if let Some(reservation) = &self.reservation
+            && now.since(reservation.since) > RESERVATION_MAX
         {
-            self.rotate(now);
+            self.requeue_reserved_gang(now);
         }
         let ids: Vec<Id> = self
             .gangs
             .iter()
-            .take(JOBS_TRIED)
+            .take(GANGS_PER_TICK_MAX)
             .map(|(_, id)| *id)
             .collect();
         for id in ids {
@@ -53,74 +53,74 @@
         }
         let (size, team, since) = (job.size, job.team.clone(), job.since);
         let tasks: Vec<u32> = job.waiting.iter().copied().collect();
-        let mut hold = match self.hold.take() {
-            Some(hold) if hold.job == id => hold,
+        let mut reservation = match self.reservation.take() {
+            Some(reservation) if reservation.job == id => reservation,
             other => {
-                self.hold = other;
-                Hold {
+                self.reservation = other;
+                Reservation {
                     job: id,
                     since: now,
-                    room: Vec::new(),
+                    assignments: Vec::new(),
                     drained: Vec::new(),
                 }
             }
         };
-        self.gather(&mut hold, size, tasks.len());
-        let units = self.teams.get(&team).map_or(0, |t| t.stock);
-        let ready = hold.room.len() == tasks.len() && units >= tasks.len() as u64;
+        self.reserve_fitting(&mut reservation, size, tasks.len());
+        let units = self.teams.get(&team).map_or(0, |t| t.available_units);
+        let ready = reservation.assignments.len() == tasks.len() && units >= tasks.len() as u64;
         if ready {
-            let room = std::mem::take(&mut hold.room);
-            self.let_go(hold);
-            for (index, (key, size)) in tasks.into_iter().zip(room) {
-                self.unkeep(key, size);
-                self.put(now, key, Task { job: id, index });
+            let assignments = std::mem::take(&mut reservation.assignments);
+            self.release_reservation(reservation);
+            for (index, (key, size)) in tasks.into_iter().zip(assignments) {
+                self.release_for_gang(key, size);
+                self.assign(now, key, Task { job: id, index });
             }
             return;
         }
-        if self.hold.is_none() && now.since(since) >= PATIENCE {
-            self.drain(&mut hold, size, tasks.len());
-            self.hold = Some(hold);
+        if self.reservation.is_none() && now.since(since) >= RESERVATION_DELAY {
+            self.drain_workers(&mut reservation, size, tasks.len());
+            self.reservation = Some(reservation);
         } else {
-            self.let_go(hold);
+            self.release_reservation(reservation);
         }
     }
 
     // Reserves resources for as many tasks as fit now, on drained workers first.
-    fn gather(&mut self, hold: &mut Hold, size: Size, tasks: usize) {
-        for key in hold.drained.clone() {
+    fn reserve_fitting(&mut self, reservation: &mut Reservation, size: Size, tasks: usize) {
+        for key in reservation.drained.clone() {
             let fits = |w: &Worker| w.up && !w.health.is_quarantined() && w.free().fits(size);
-            while hold.room.len() < tasks && fits(&self.workers[key.0 as usize]) {
-                self.keep(key, size);
-                hold.room.push((key, size));
+            while reservation.assignments.len() < tasks && fits(&self.workers[key.0 as usize]) {
+                self.reserve_for_gang(key, size);
+                reservation.assignments.push((key, size));
             }
         }
-        while hold.room.len() < tasks {
-            let Some(key) = self.index().tightest(size) else {
+        while reservation.assignments.len() < tasks {
+            let Some(key) = self.index().best_fit(size) else {
                 return;
             };
-            self.keep(key, size);
-            hold.room.push((key, size));
+            self.reserve_for_gang(key, size);
+            reservation.assignments.push((key, size));
         }
     }
 
     // Drains workers, those with the least CPU reserved first, until they can run the
     // missing tasks once their current ones have ended.
-    fn drain(&mut self, hold: &mut Hold, size: Size, tasks: usize) {
-        let room_on = |worker: &Worker| {
-            let unkept = worker.total.minus(worker.kept);
-            let later = Worker::times(unkept, size);
-            let now = Worker::times(unkept.minus(worker.reserved), size);
+    fn drain_workers(&mut self, reservation: &mut Reservation, size: Size, tasks: usize) {
+        let gain_of = |worker: &Worker| {
+            let usable = worker.total.minus(worker.gang_reserved);
+            let later = Worker::tasks_in(usable, size);
+            let now = Worker::tasks_in(usable.minus(worker.reserved), size);
             later.saturating_sub(now) as usize
         };
-        let planned: usize = hold
+        let draining: usize = reservation
             .drained
             .iter()
-            .map(|key| room_on(&self.workers[key.0 as usize]))
+            .map(|key| gain_of(&self.workers[key.0 as usize]))
             .sum();
-        let mut lacking = tasks.saturating_sub(hold.room.len() + planned);
+        let mut lacking = tasks.saturating_sub(reservation.assignments.len() + draining);
         let mut candidates: Vec<(u64, WorkerKey)> = (0u32..)
             .zip(&self.workers)
-            .filter(|(_, w)| w.is_open() && room_on(w) > 0)
+            .filter(|(_, w)| w.is_open() && gain_of(w) > 0)
             .map(|(at, w)| (w.reserved.cpu_milli, WorkerKey(at)))
             .collect();
         candidates.sort_unstable();
@@ -129,48 +129,48 @@
                 return;
             }
             let worker = &mut self.workers[key.0 as usize];
-            lacking = lacking.saturating_sub(room_on(worker));
+            lacking = lacking.saturating_sub(gain_of(worker));
             worker.draining = true;
-            hold.drained.push(key);
-            self.refresh(key);
+            reservation.drained.push(key);
+            self.update_index(key);
         }
     }
 
-    fn let_go(&mut self, hold: Hold) {
-        for (key, size) in hold.room {
-            self.unkeep(key, size);
+    fn release_reservation(&mut self, reservation: Reservation) {
+        for (key, size) in reservation.assignments {
+            self.release_for_gang(key, size);
         }
-        for key in hold.drained {
+        for key in reservation.drained {
             self.workers[key.0 as usize].draining = false;
-            self.refresh(key);
+            self.update_index(key);
         }
     }
 
-    fn keep(&mut self, key: WorkerKey, size: Size) {
+    fn reserve_for_gang(&mut self, key: WorkerKey, size: Size) {
         let worker = &mut self.workers[key.0 as usize];
-        worker.kept = worker.kept.plus(size);
-        self.refresh(key);
+        worker.gang_reserved = worker.gang_reserved.plus(size);
+        self.update_index(key);
     }
 
-    fn unkeep(&mut self, key: WorkerKey, size: Size) {
+    fn release_for_gang(&mut self, key: WorkerKey, size: Size) {
         let worker = &mut self.workers[key.0 as usize];
-        worker.kept = worker.kept.minus(size);
-        self.refresh(key);
+        worker.gang_reserved = worker.gang_reserved.minus(size);
+        self.update_index(key);
     }
 
     /// Cancels the current gang's reservation, if any.
-    pub(super) fn release_hold(&mut self) {
-        if let Some(hold) = self.hold.take() {
-            self.let_go(hold);
+    pub(super) fn cancel_reservation(&mut self) {
+        if let Some(reservation) = self.reservation.take() {
+            self.release_reservation(reservation);
         }
     }
 
     // Cancels the current reservation and moves its job to the end of the queue.
-    fn rotate(&mut self, now: Moment) {
-        let Some(id) = self.hold.as_ref().map(|hold| hold.job) else {
+    fn requeue_reserved_gang(&mut self, now: Moment) {
+        let Some(id) = self.reservation.as_ref().map(|reservation| reservation.job) else {
             return;
         };
-        self.release_hold();
+        self.cancel_reservation();
         if let Some(job) = self.jobs.get_mut(&id) {
             self.gangs.remove(&(job.rank, id));
             job.rank.since = now;
--- a/src/core/fleet/health.rs
+++ b/src/core/fleet/health.rs
@@ -5,22 +5,22 @@
 use crate::core::time::Moment;
 
 /// Consecutive failures after which a worker is quarantined.
-const STREAK_MAX: u32 = 3;
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
 /// Failure rate over all workers, in thousandths, above which failures are not attributed
 /// to a single worker.
-const COMMON_RATE_MILLI: u32 = 500;
+const COMMON_FAILURE_RATE_MILLI: u32 = 500;
 /// Length of the first quarantine; doubles with each further one.
 const QUARANTINE_BASE: Duration = Duration::from_secs(10);
 /// Longest quarantine of a worker.
-const QUARANTINE_CAP: Duration = Duration::from_secs(600);
+const QUARANTINE_MAX: Duration = Duration::from_secs(600);
 
 /// Exponentially decayed failure rate over all workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
+pub struct FailureRate {
     milli: u32,
 }
 
-impl Rate {
+impl FailureRate {
     /// Updates the rate with the outcome of a run.
     pub const fn record(&mut self, ok: bool) {
         let target = if ok { 0 } else { 1_000 };
@@ -29,15 +29,15 @@
 
     /// Returns whether failures are too common to be attributed to a single worker.
     pub const fn is_common(self) -> bool {
-        self.milli > COMMON_RATE_MILLI
+        self.milli > COMMON_FAILURE_RATE_MILLI
     }
 }
 
 /// Recent failures and quarantine of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    streak: u32,
-    quarantines: u32,
+    consecutive_failures: u32,
+    backoff_level: u32,
     until: Option<Moment>,
 }
 
@@ -50,24 +50,27 @@
     /// Returns whether at least its two latest runs failed, so that the worker may be the
     /// cause of a further failure.
     pub const fn is_suspect(&self) -> bool {
-        self.streak >= 2
+        self.consecutive_failures >= 2
     }
 
     /// Records the outcome of a run. Returns the length of the quarantine if one begins.
-    pub fn record(&mut self, now: Moment, ok: bool, rate: Rate) -> Option<Duration> {
+    pub fn record(&mut self, now: Moment, ok: bool, rate: FailureRate) -> Option<Duration> {
         if ok {
-            self.streak = 0;
-            self.quarantines = self.quarantines.saturating_sub(1);
+            self.consecutive_failures = 0;
+            self.backoff_level = self.backoff_level.saturating_sub(1);
             return None;
         }
-        self.streak += 1;
-        if self.streak < STREAK_MAX || rate.is_common() || self.until.is_some() {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < CONSECUTIVE_FAILURES_MAX
+            || rate.is_common()
+            || self.until.is_some()
+        {
             return None;
         }
         let length = QUARANTINE_BASE
-            .saturating_mul(1 << self.quarantines.min(10))
-            .min(QUARANTINE_CAP);
-        self.quarantines += 1;
+            .saturating_mul(1 << self.backoff_level.min(10))
+            .min(QUARANTINE_MAX);
+        self.backoff_level += 1;
         self.until = Some(now + length);
         Some(length)
     }
@@ -77,7 +80,7 @@
     pub fn tick(&mut self, now: Moment) -> bool {
         if self.until.is_some_and(|until| now >= until) {
             self.until = None;
-            self.streak = STREAK_MAX - 1;
+            self.consecutive_failures = CONSECUTIVE_FAILURES_MAX - 1;
             return true;
         }
         false
--- a/src/core/fleet/job.rs
+++ b/src/core/fleet/job.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether the job is not urgent; `false` sorts first.
-    pub later: bool,
+    pub not_urgent: bool,
     /// Deadline, or the largest [`Moment`] for jobs without one.
     pub deadline: Moment,
     /// Time at which the job was first seen, or at which its gang's reservation last timed
@@ -29,7 +29,7 @@
     /// Resources reserved for the task.
     pub size: Size,
     /// Whether the worker became unreachable and the task stays assigned to it.
-    pub kept: bool,
+    pub awaits_worker: bool,
     /// Whether the task was ordered to end.
     pub evicting: bool,
 }
@@ -54,13 +54,13 @@
     /// Indices of the tasks that may still run under a lease from a previous leader.
     pub unsettled: BTreeSet<u32>,
     /// Indices of the completed tasks whose end the registry has yet to record.
-    pub ending: BTreeSet<u32>,
+    pub unrecorded: BTreeSet<u32>,
     /// Consecutive failures that are not attributed to a worker.
     pub failures: u32,
     /// Time before which none of its tasks is placed, because of backoff.
     pub not_before: Moment,
-    /// Value of [`Index::changes`](super::index::Index::changes) at which no worker fitted.
-    pub blocked: Option<u64>,
+    /// Value of [`Index::gains`](super::index::Index::gains) at which no worker fitted.
+    pub blocked_at_gains: Option<u64>,
     /// Number of placed tasks by rack.
     pub racks: BTreeMap<u32, u32>,
 }
@@ -76,7 +76,7 @@
         Self {
             team: job.team.clone(),
             rank: Rank {
-                later: !spec.urgent,
+                not_urgent: !spec.urgent,
                 deadline,
                 since: now,
             },
@@ -86,21 +86,21 @@
             waiting: BTreeSet::new(),
             placed: HashMap::new(),
             unsettled: BTreeSet::new(),
-            ending: BTreeSet::new(),
+            unrecorded: BTreeSet::new(),
             failures: 0,
             not_before: Moment::ZERO,
-            blocked: None,
+            blocked_at_gains: None,
             racks: BTreeMap::new(),
         }
     }
 
     /// Adds a task to the count of a rack.
-    pub fn enter_rack(&mut self, rack: u32) {
+    pub fn add_to_rack(&mut self, rack: u32) {
         *self.racks.entry(rack).or_default() += 1;
     }
 
     /// Removes a task from the count of a rack.
-    pub fn leave_rack(&mut self, rack: u32) {
+    pub fn remove_from_rack(&mut self, rack: u32) {
         if let Some(count) = self.racks.get_mut(&rack) {
             *count = count.saturating_sub(1);
         }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -23,7 +23,7 @@
 use crate::core::time::{Moment, with_clock_margin};
 use crate::event::Event;
 use estimate::Estimates;
-use gang::Hold;
+use gang::Reservation;
 use index::Index;
 use job::JobState;
 
@@ -33,9 +33,9 @@
 /// Longest time for which a poll is held open until there are orders.
 pub const POLL_WAIT_MAX: Duration = Duration::from_secs(4);
 /// Lost tasks that are queued again per tick.
-const REPLACE_PER_TICK: usize = 10;
+const REQUEUES_PER_TICK_MAX: usize = 10;
 /// Most placements per tick, other than of gangs; bounds the time that a tick takes.
-const PLACE_PER_TICK: usize = 256;
+const PLACEMENTS_PER_TICK_MAX: usize = 256;
 /// Half-life of the decayed average of a team's usage.
 const USAGE_HALF_LIFE: Duration = Duration::from_secs(60);
 
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default)]
 struct Team {
     share: u32,
-    stock: u64,
+    available_units: u64,
     running: Size,
     usage: f64,
     usage_at: Moment,
@@ -62,27 +62,27 @@
     settled_at: Moment,
     next_attempt: u64,
     workers: Vec<Worker>,
-    names: HashMap<String, WorkerKey>,
+    keys_by_name: HashMap<String, WorkerKey>,
     racks: HashMap<String, u32>,
     index: Index,
     jobs: BTreeMap<Id, JobState>,
     teams: BTreeMap<String, Team>,
-    order: BTreeSet<(u64, String)>,
+    team_order: BTreeSet<(u64, String)>,
     urgent: BTreeSet<(job::Rank, Id)>,
     gangs: BTreeSet<(job::Rank, Id)>,
-    hold: Option<Hold>,
-    lost: BTreeSet<(job::Rank, Task)>,
+    reservation: Option<Reservation>,
+    lost_tasks: BTreeSet<(job::Rank, Task)>,
     estimates: Estimates,
     queues: BTreeMap<String, Policy>,
     policy: Order,
     total: Size,
     ended: Vec<Ended>,
-    acks: HashMap<Task, (WorkerKey, u64)>,
-    woken: BTreeSet<WorkerKey>,
+    pending_acks: HashMap<Task, (WorkerKey, u64)>,
+    to_notify: BTreeSet<WorkerKey>,
     events: Vec<Event>,
-    failures: health::Rate,
-    adopted_units: Vec<String>,
-    starved: BTreeSet<String>,
+    failure_rate: health::FailureRate,
+    adopted_teams: Vec<String>,
+    teams_at_limit: BTreeSet<String>,
 }
 
 impl Fleet {
@@ -100,27 +100,27 @@
             settled_at,
             next_attempt: 0,
             workers: Vec::new(),
-            names: HashMap::new(),
+            keys_by_name: HashMap::new(),
             racks: HashMap::new(),
             index: Index::default(),
             jobs: BTreeMap::new(),
             teams: BTreeMap::new(),
-            order: BTreeSet::new(),
+            team_order: BTreeSet::new(),
             urgent: BTreeSet::new(),
             gangs: BTreeSet::new(),
-            hold: None,
-            lost: BTreeSet::new(),
+            reservation: None,
+            lost_tasks: BTreeSet::new(),
             estimates: Estimates::default(),
             queues: BTreeMap::new(),
             policy: Order::Share,
             total: Size::default(),
             ended: Vec::new(),
-            acks: HashMap::new(),
-            woken: BTreeSet::new(),
+            pending_acks: HashMap::new(),
+            to_notify: BTreeSet::new(),
             events: Vec::new(),
-            failures: health::Rate::default(),
-            adopted_units: Vec::new(),
-            starved: BTreeSet::new(),
+            failure_rate: health::FailureRate::default(),
+            adopted_teams: Vec::new(),
+            teams_at_limit: BTreeSet::new(),
         }
     }
 
@@ -152,7 +152,7 @@
         }
         let id = job.id;
         self.jobs.insert(id, state);
-        self.enlist(id);
+        self.enqueue(id);
     }
 
     /// Removes a job that is no longer open and orders its tasks to stop.
@@ -160,9 +160,13 @@
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        self.delist(id, &job);
-        if self.hold.as_ref().is_some_and(|hold| hold.job == id) {
-            self.release_hold();
+        self.dequeue(id, &job);
+        if self
+            .reservation
+            .as_ref()
+            .is_some_and(|reservation| reservation.job == id)
+        {
+            self.cancel_reservation();
         }
         for index in job.placed.keys() {
             let task = Task {
@@ -177,20 +181,20 @@
         let placement = &job.placed[&task.index];
         let key = placement.worker;
         let worker = &mut self.workers[key.0 as usize];
-        if worker.held.remove(&task).is_some() {
+        if worker.preempting.remove(&task).is_some() {
             // No start was ordered, so there is nothing to stop.
             worker.tasks.remove(&task);
-            self.refresh(key);
+            self.update_index(key);
             let size = placement.size;
-            self.charge(now, &job.team, |running| running.minus(size));
-            self.return_unit(&job.team);
+            self.update_usage(now, &job.team, |running| running.minus(size));
+            self.release_unit(&job.team);
             return;
         }
         worker.order_stop(task, placement.attempt, How::Stop);
         worker
             .orphans
             .insert(task, (job.team.clone(), placement.size));
-        self.woken.insert(key);
+        self.to_notify.insert(key);
     }
 
     /// Returns the ids of all known jobs.
@@ -200,13 +204,13 @@
 
     /// Acknowledges a task's end to its worker, once the registry has recorded it.
     pub fn confirm_end(&mut self, task: Task) {
-        if let Some((key, attempt)) = self.acks.remove(&task) {
+        if let Some((key, attempt)) = self.pending_acks.remove(&task) {
             let worker = &mut self.workers[key.0 as usize];
             worker.acks.push((task, attempt));
-            self.woken.insert(key);
+            self.to_notify.insert(key);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.ending.remove(&task.index);
+            job.unrecorded.remove(&task.index);
         }
     }
 
@@ -217,7 +221,7 @@
 
     /// Takes the names of the workers that have new orders since the last call.
     pub fn take_woken(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.woken)
+        std::mem::take(&mut self.to_notify)
             .into_iter()
             .map(|key| self.workers[key.0 as usize].name.clone())
             .collect()
@@ -253,10 +257,10 @@
         wanted
             .into_iter()
             .filter_map(|(team, (units, largest))| {
-                let stock = self.teams.get(team).map_or(0, |t| t.stock);
-                let useful = PLACE_PER_TICK as u64 + largest;
-                let lack = units.min(useful).saturating_sub(stock);
-                (lack > 0).then(|| (team.to_owned(), lack))
+                let available = self.teams.get(team).map_or(0, |t| t.available_units);
+                let useful = PLACEMENTS_PER_TICK_MAX as u64 + largest;
+                let missing = units.min(useful).saturating_sub(available);
+                (missing > 0).then(|| (team.to_owned(), missing))
             })
             .collect()
     }
@@ -264,33 +268,33 @@
     /// Adds units of a team's limit that were granted after a request for `wanted` units.
     pub fn add_units(&mut self, team: &str, units: u64, wanted: u64) {
         let state = self.team_mut(team);
-        state.stock += units;
-        if state.stock == 0 && wanted > 0 {
-            self.starved.insert(team.to_owned());
+        state.available_units += units;
+        if state.available_units == 0 && wanted > 0 {
+            self.teams_at_limit.insert(team.to_owned());
         } else {
-            self.starved.remove(team);
+            self.teams_at_limit.remove(team);
         }
     }
 
     /// Takes the teams of the tasks that were found running since the last call, with one
     /// entry for each task.
     pub fn take_adopted(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.adopted_units)
+        std::mem::take(&mut self.adopted_teams)
     }
 
     /// Takes all units that no task uses, by team.
     pub fn return_stock(&mut self) -> Vec<(String, u64)> {
         self.teams
             .iter_mut()
-            .filter(|(_, team)| team.stock > 0)
-            .map(|(name, team)| (name.clone(), std::mem::take(&mut team.stock)))
+            .filter(|(_, team)| team.available_units > 0)
+            .map(|(name, team)| (name.clone(), std::mem::take(&mut team.available_units)))
             .collect()
     }
 
     /// Expires leases, queues lost tasks again and places waiting tasks.
     pub fn tick(&mut self, now: Moment) {
         self.expire_leases(now);
-        self.settle_unsettled(now);
+        self.requeue_unsettled(now);
         self.requeue_lost();
         self.place_waiting(now);
     }
@@ -330,12 +334,14 @@
             .fold(Size::default(), |size, w| size.max(w.total));
         let need = spec.size;
         let lacks = [
-            ("processor", need.cpu_milli > largest.cpu_milli),
+            ("processors", need.cpu_milli > largest.cpu_milli),
             ("memory", need.memory_mb > largest.memory_mb),
             ("accelerators", need.accelerators > largest.accelerators),
         ];
         if let Some((dimension, _)) = lacks.iter().find(|(_, lack)| *lack) {
-            return Some(format!("task size exceeds every worker's {dimension}"));
+            return Some(format!(
+                "the task needs more {dimension} than any worker has"
+            ));
         }
         let fits = self.workers.iter().any(|w| w.is_up() && w.total.fits(need));
         if !fits {
@@ -346,7 +352,7 @@
                 .workers
                 .iter()
                 .filter(|w| w.is_up())
-                .map(|w| w.times_fits(need))
+                .map(|w| w.task_capacity(need))
                 .sum();
             if capacity < u64::from(spec.tasks) {
                 return Some(format!(
@@ -369,19 +375,19 @@
         self.teams.get_mut(name).expect("just inserted")
     }
 
-    fn return_unit(&mut self, team: &str) {
-        self.team_mut(team).stock += 1;
+    fn release_unit(&mut self, team: &str) {
+        self.team_mut(team).available_units += 1;
     }
 
     // Updates a worker's entry in the free-capacity index.
-    fn refresh(&mut self, key: WorkerKey) {
+    fn update_index(&mut self, key: WorkerKey) {
         let worker = &mut self.workers[key.0 as usize];
         let free = worker.is_open().then(|| worker.free());
         self.index.set(key, free);
     }
 
     // Adds a job with waiting tasks to the queue of its class.
-    fn enlist(&mut self, id: Id) {
+    fn enqueue(&mut self, id: Id) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -398,31 +404,31 @@
             let team_state = self.team_mut(&team);
             team_state.waiting.insert(entry);
             let score = team_state.score;
-            self.order.insert((score, team));
+            self.team_order.insert((score, team));
         }
     }
 
-    fn delist(&mut self, id: Id, job: &JobState) {
+    fn dequeue(&mut self, id: Id, job: &JobState) {
         let entry = (job.rank, id);
         self.gangs.remove(&entry);
         self.urgent.remove(&entry);
         if let Some(team) = self.teams.get_mut(&job.team) {
             team.waiting.remove(&entry);
             if team.waiting.is_empty() {
-                self.order.remove(&(team.score, job.team.clone()));
+                self.team_order.remove(&(team.score, job.team.clone()));
             }
         }
     }
 
     // Updates a team's reserved resources, its usage average and its position in the order
     // of teams. The score is the sum of current and average dominant share over the weight.
-    fn charge(&mut self, now: Moment, name: &str, change: impl FnOnce(Size) -> Size) {
+    fn update_usage(&mut self, now: Moment, name: &str, change: impl FnOnce(Size) -> Size) {
         let total = self.total;
         let team = self.team_mut(name);
         let elapsed = now.since(team.usage_at).as_secs_f64();
-        let keep = 0.5f64.powf(elapsed / USAGE_HALF_LIFE.as_secs_f64());
-        let now_running = team.running.dominant_of(total);
-        team.usage = team.usage * keep + now_running * (1.0 - keep);
+        let decay = 0.5f64.powf(elapsed / USAGE_HALF_LIFE.as_secs_f64());
+        let current = team.running.dominant_of(total);
+        team.usage = team.usage * decay + current * (1.0 - decay);
         team.usage_at = now;
         team.running = change(team.running);
         let level = (team.running.dominant_of(total) + team.usage) / f64::from(team.share.max(1));
@@ -430,26 +436,26 @@
         // The bit patterns of non-negative floats sort like their values.
         team.score = level.max(0.0).to_bits();
         let score = team.score;
-        if self.order.remove(&(old, name.to_owned())) {
-            self.order.insert((score, name.to_owned()));
+        if self.team_order.remove(&(old, name.to_owned())) {
+            self.team_order.insert((score, name.to_owned()));
         }
     }
 
     fn requeue_lost(&mut self) {
-        for _ in 0..REPLACE_PER_TICK {
-            let Some((_, task)) = self.lost.pop_first() else {
+        for _ in 0..REQUEUES_PER_TICK_MAX {
+            let Some((_, task)) = self.lost_tasks.pop_first() else {
                 return;
             };
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.waiting.insert(task.index);
-                self.enlist(task.job);
+                self.enqueue(task.job);
             }
         }
     }
 
     // Queues the tasks that no worker has reported by the time at which all leases from the
     // previous leader have expired, since they run nowhere.
-    fn settle_unsettled(&mut self, now: Moment) {
+    fn requeue_unsettled(&mut self, now: Moment) {
         if now < self.settled_at {
             return;
         }
@@ -466,7 +472,7 @@
             }
             let tasks = std::mem::take(&mut job.unsettled);
             job.waiting.extend(tasks);
-            self.enlist(id);
+            self.enqueue(id);
         }
     }
 }
--- a/src/core/fleet/place.rs
+++ b/src/core/fleet/place.rs
@@ -2,33 +2,33 @@
 
 use super::index::Index;
 use super::job::Placement;
-use super::{Fleet, How, PLACE_PER_TICK, Start, WorkerKey};
+use super::{Fleet, How, PLACEMENTS_PER_TICK_MAX, Start, WorkerKey};
 use crate::config::{Order, Policy};
 use crate::core::job::{Class, Id, Size, Task, run_time};
 use crate::core::time::Moment;
 use crate::event::Event;
 
 /// Jobs of one team that are tried before the team is skipped for the rest of a tick.
-const JOBS_TRIED: usize = 8;
+const JOBS_PER_TEAM_MAX: usize = 8;
 /// Workers that are examined, emptiest first, for tasks to preempt.
-const EVICT_PROBES: usize = 48;
+const PREEMPTION_WORKERS_MAX: usize = 48;
 /// Weight of a job's estimated run time against its waiting time under [`Order::Wait`], so
 /// that teams with short jobs go first.
-const RUN_TIME_WEIGHT: u32 = 4;
+const RUN_TIME_FACTOR: u32 = 4;
 
 impl Fleet {
     /// Places urgent tasks, then gangs, then other tasks in the order of teams.
     pub(super) fn place_waiting(&mut self, now: Moment) {
-        let mut left = PLACE_PER_TICK;
-        self.place_urgent(now, &mut left);
+        let mut budget = PLACEMENTS_PER_TICK_MAX;
+        self.place_urgent(now, &mut budget);
         self.place_gangs(now);
         let mut done: Vec<String> = Vec::new();
-        while left > 0 {
+        while budget > 0 {
             let Some(team) = self.next_team(&done) else {
                 break;
             };
-            if self.place_one_of(now, &team) {
-                left -= 1;
+            if self.place_task_of_team(now, &team) {
+                budget -= 1;
             } else {
                 done.push(team);
             }
@@ -39,7 +39,7 @@
     // the one whose first job has waited longest relative to its estimated run time.
     fn next_team(&self, done: &[String]) -> Option<String> {
         let mut open = self
-            .order
+            .team_order
             .iter()
             .map(|(_, name)| name)
             .filter(|name| !done.contains(name));
@@ -51,7 +51,7 @@
                     first.map(|(_, id)| {
                         let job = &self.jobs[id];
                         let run = run_time(&job.spec).unwrap_or_default();
-                        job.since + run * RUN_TIME_WEIGHT
+                        job.since + run * RUN_TIME_FACTOR
                     })
                 })
                 .cloned(),
@@ -59,39 +59,39 @@
     }
 
     // Places one task of a team. Returns `false` if none of its jobs can be placed.
-    fn place_one_of(&mut self, now: Moment, team: &str) -> bool {
-        if self.teams[team].stock == 0 {
+    fn place_task_of_team(&mut self, now: Moment, team: &str) -> bool {
+        if self.teams[team].available_units == 0 {
             return false;
         }
         let ids: Vec<Id> = self.teams[team]
             .waiting
             .iter()
-            .take(JOBS_TRIED)
+            .take(JOBS_PER_TEAM_MAX)
             .map(|(_, id)| *id)
             .collect();
-        ids.into_iter().any(|id| self.place_task_of(now, id))
+        ids.into_iter().any(|id| self.place_task_of_job(now, id))
     }
 
-    fn place_task_of(&mut self, now: Moment, id: Id) -> bool {
-        let changes = self.index.changes();
+    fn place_task_of_job(&mut self, now: Moment, id: Id) -> bool {
+        let gains = self.index.gains();
         let job = &self.jobs[&id];
-        if now < job.not_before || job.blocked == Some(changes) {
+        if now < job.not_before || job.blocked_at_gains == Some(gains) {
             return false;
         }
         let Some(&index) = job.waiting.first() else {
             return false;
         };
-        let Some(worker) = self.choose(id) else {
-            self.jobs.get_mut(&id).expect("known job").blocked = Some(changes);
+        let Some(worker) = self.choose_worker(id) else {
+            self.jobs.get_mut(&id).expect("known job").blocked_at_gains = Some(gains);
             return false;
         };
-        self.put(now, worker, Task { job: id, index });
+        self.assign(now, worker, Task { job: id, index });
         true
     }
 
     /// Chooses a worker for a job's next task by the policy of its queue. Without one,
     /// services are spread over racks and other jobs are packed.
-    pub(super) fn choose(&self, id: Id) -> Option<WorkerKey> {
+    pub(super) fn choose_worker(&self, id: Id) -> Option<WorkerKey> {
         let job = &self.jobs[&id];
         let policy = match (self.queues.get(&job.spec.queue), job.spec.class) {
             (Some(policy), _) => *policy,
@@ -99,30 +99,30 @@
             (None, Class::Batch | Class::AllAtOnce) => Policy::Pack,
         };
         match policy {
-            Policy::Pack => self.index.tightest(job.size),
+            Policy::Pack => self.index.best_fit(job.size),
             Policy::Spread => {
                 let on_rack = |key: &WorkerKey| {
                     let rack = self.workers[key.0 as usize].rack;
                     job.racks.get(&rack).copied().unwrap_or(0)
                 };
-                let candidates = self.index.emptiest(job.size);
+                let candidates = self.index.spread_candidates(job.size);
                 candidates.into_iter().min_by_key(on_rack)
             }
         }
     }
 
     /// Assigns a task to a worker, using a unit of its team, and orders its start.
-    pub(super) fn put(&mut self, now: Moment, key: WorkerKey, task: Task) {
-        let attempt = self.mint_attempt();
+    pub(super) fn assign(&mut self, now: Moment, key: WorkerKey, task: Task) {
+        let attempt = self.issue_attempt();
         let job = &self.jobs[&task.job];
         let size = job.size;
         let team = job.team.clone();
-        self.team_mut(&team).stock -= 1;
+        self.team_mut(&team).available_units -= 1;
         self.reserve(now, key, task, attempt, size);
         self.order_start(key, task);
     }
 
-    fn mint_attempt(&mut self) -> u64 {
+    fn issue_attempt(&mut self) -> u64 {
         self.next_attempt += 1;
         (self.term << 40) | self.next_attempt
     }
@@ -141,7 +141,7 @@
         let worker = &mut self.workers[key.0 as usize];
         worker.order_start(start);
         let name = worker.name.clone();
-        self.woken.insert(key);
+        self.to_notify.insert(key);
         self.events.push(Event::TaskPlaced {
             task: task.to_string(),
             worker: name,
@@ -161,11 +161,11 @@
         worker.tasks.insert(task, attempt);
         worker.reserved = worker.reserved.plus(size);
         let rack = worker.rack;
-        self.note_placed(now, key, task, attempt, size, rack);
-        self.refresh(key);
+        self.record_placement(now, key, task, attempt, size, rack);
+        self.update_index(key);
     }
 
-    fn note_placed(
+    fn record_placement(
         &mut self,
         now: Moment,
         worker: WorkerKey,
@@ -176,12 +176,12 @@
     ) {
         let job = self.jobs.get_mut(&task.job).expect("known job");
         job.waiting.remove(&task.index);
-        job.enter_rack(rack);
+        job.add_to_rack(rack);
         let placement = Placement {
             worker,
             attempt,
             size,
-            kept: false,
+            awaits_worker: false,
             evicting: false,
         };
         job.placed.insert(task.index, placement);
@@ -194,14 +194,19 @@
             state.waiting.remove(&entry);
             let (score, empty) = (state.score, state.waiting.is_empty());
             if empty {
-                self.order.remove(&(score, team.clone()));
+                self.team_order.remove(&(score, team.clone()));
             }
         }
-        self.charge(now, &team, |running| running.plus(size));
+        self.update_usage(now, &team, |running| running.plus(size));
     }
 
     /// Releases a task's reservation. Returns its team, to which the caller returns the unit.
-    pub(super) fn vacate(&mut self, now: Moment, key: WorkerKey, task: Task) -> Option<String> {
+    pub(super) fn release_task(
+        &mut self,
+        now: Moment,
+        key: WorkerKey,
+        task: Task,
+    ) -> Option<String> {
         let worker = &mut self.workers[key.0 as usize];
         let attempt = worker.tasks.remove(&task)?;
         worker.starts.remove(&task);
@@ -210,56 +215,59 @@
         let rack = worker.rack;
         if let Some((team, size)) = worker.orphans.remove(&task) {
             worker.reserved = worker.reserved.minus(size);
-            self.charge(now, &team, |running| running.minus(size));
-            self.refresh(key);
-            self.start_held(key);
+            self.update_usage(now, &team, |running| running.minus(size));
+            self.update_index(key);
+            self.start_preempting(key);
             return Some(team);
         }
         let job = self.jobs.get_mut(&task.job)?;
         let placement = job.placed.remove(&task.index)?;
-        job.leave_rack(rack);
+        job.remove_from_rack(rack);
         let team = job.team.clone();
         let worker = &mut self.workers[key.0 as usize];
         let size = placement.size;
-        if worker.held.remove(&task).is_none() {
+        if worker.preempting.remove(&task).is_none() {
             worker.reserved = worker.reserved.minus(size);
         }
-        self.charge(now, &team, |running| running.minus(size));
-        self.refresh(key);
-        self.start_held(key);
+        self.update_usage(now, &team, |running| running.minus(size));
+        self.update_index(key);
+        self.start_preempting(key);
         Some(team)
     }
 
-    fn place_urgent(&mut self, now: Moment, left: &mut usize) {
+    fn place_urgent(&mut self, now: Moment, budget: &mut usize) {
         let ids: Vec<Id> = self.urgent.iter().map(|(_, id)| *id).collect();
         for id in ids {
-            while *left > 0 && self.place_urgent_task(now, id) {
-                *left -= 1;
+            while *budget > 0 && self.place_urgent_task(now, id) {
+                *budget -= 1;
             }
         }
     }
 
     fn place_urgent_task(&mut self, now: Moment, id: Id) -> bool {
         let job = &self.jobs[&id];
-        let has_unit = self.teams.get(&job.team).is_some_and(|t| t.stock > 0);
+        let has_unit = self
+            .teams
+            .get(&job.team)
+            .is_some_and(|t| t.available_units > 0);
         let Some(&index) = job.waiting.first() else {
             return false;
         };
         if now < job.not_before || !has_unit {
             return false;
         }
-        if self.place_task_of(now, id) {
+        if self.place_task_of_job(now, id) {
             return true;
         }
-        self.make_room(now, Task { job: id, index })
+        self.preempt(now, Task { job: id, index })
     }
 
     // Preempts tasks for an urgent one, on the worker where the fewest have to be
     // checkpointed. The urgent task starts once they have ended.
-    fn make_room(&mut self, now: Moment, task: Task) -> bool {
+    fn preempt(&mut self, now: Moment, task: Task) -> bool {
         let need = self.jobs[&task.job].size;
         let mut best: Option<(WorkerKey, Vec<Task>)> = None;
-        for key in self.index.all_emptiest().take(EVICT_PROBES) {
+        for key in self.index.by_free_processors().take(PREEMPTION_WORKERS_MAX) {
             if let Some(victims) = self.victims(key, need)
                 && best
                     .as_ref()
@@ -274,16 +282,16 @@
         for victim in victims {
             self.evict(key, victim, How::Checkpoint, "urgent work");
         }
-        let attempt = self.mint_attempt();
+        let attempt = self.issue_attempt();
         let job = &self.jobs[&task.job];
         let (size, team) = (job.size, job.team.clone());
-        self.team_mut(&team).stock -= 1;
+        self.team_mut(&team).available_units -= 1;
         let worker = &mut self.workers[key.0 as usize];
         worker.tasks.insert(task, attempt);
-        worker.held.insert(task, size);
+        worker.preempting.insert(task, size);
         let rack = worker.rack;
-        self.note_placed(now, key, task, attempt, size, rack);
-        self.refresh(key);
+        self.record_placement(now, key, task, attempt, size, rack);
+        self.update_index(key);
         true
     }
 
@@ -320,7 +328,7 @@
         };
         worker.order_stop(task, attempt, how);
         let name = worker.name.clone();
-        self.woken.insert(key);
+        self.to_notify.insert(key);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(placement) = job.placed.get_mut(&task.index)
         {
@@ -334,22 +342,25 @@
     }
 
     // Starts the urgent tasks that waited for preempted tasks to end and now fit.
-    fn start_held(&mut self, key: WorkerKey) {
-        let held: Vec<(Task, Size)> = self.workers[key.0 as usize]
-            .held
+    fn start_preempting(&mut self, key: WorkerKey) {
+        let preempting: Vec<(Task, Size)> = self.workers[key.0 as usize]
+            .preempting
             .iter()
             .map(|(task, size)| (*task, *size))
             .collect();
-        for (task, size) in held {
+        for (task, size) in preempting {
             let worker = &mut self.workers[key.0 as usize];
-            let room = worker.total.minus(worker.reserved).minus(worker.kept);
+            let room = worker
+                .total
+                .minus(worker.reserved)
+                .minus(worker.gang_reserved);
             if !room.fits(size) {
                 continue;
             }
-            worker.held.remove(&task);
+            worker.preempting.remove(&task);
             worker.reserved = worker.reserved.plus(size);
             self.order_start(key, task);
-            self.refresh(key);
+            self.update_index(key);
         }
     }
 
--- a/src/core/fleet/poll.rs
+++ b/src/core/fleet/poll.rs
@@ -15,9 +15,9 @@
 /// Base of the pause of a job after consecutive failures; doubles with each further one.
 const BACKOFF_BASE: Duration = Duration::from_secs(1);
 /// Longest pause of a job after failures.
-const BACKOFF_CAP: Duration = Duration::from_secs(300);
+const BACKOFF_MAX: Duration = Duration::from_secs(300);
 /// Consecutive failures of a job's tasks that cause no pause.
-const FAILURES_FREE: u32 = 3;
+const FAILURES_BEFORE_BACKOFF: u32 = 3;
 
 /// A worker's poll: its size, its running tasks and the tasks that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -148,9 +148,9 @@
                 "invalid poll: the worker needs a valid name, a valid rack and processors";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        let key = self.worker_of(now, poll)?;
+        let key = self.register_worker(now, poll)?;
         let worker = &mut self.workers[key.0 as usize];
-        worker.poll = poll.number;
+        worker.last_poll = poll.number;
         if !worker.up {
             worker.up = true;
             self.total = self.total.plus(poll.size);
@@ -160,34 +160,34 @@
         let worker = &mut self.workers[key.0 as usize];
         worker.lease_until = now + with_clock_margin(WORKER_LEASE);
         for end in &poll.ended {
-            self.take_end(now, key, end);
+            self.handle_end(now, key, end);
         }
         for run in &poll.running {
-            self.take_run(now, key, run);
+            self.handle_run(now, key, run);
         }
-        self.find_missing(now, key, poll);
-        self.relieve(key);
-        self.refresh(key);
+        self.requeue_missing(now, key, poll);
+        self.relieve_overload(key);
+        self.update_index(key);
         Ok(())
     }
 
     /// Returns the orders that answer a worker's poll, and renews its lease. Returns `None`
     /// if the worker is unknown, or if there are no new orders and `force` is not set.
     pub fn orders(&mut self, now: Moment, name: &str, force: bool) -> Option<Orders> {
-        let key = *self.names.get(name)?;
+        let key = *self.keys_by_name.get(name)?;
         let worker = &mut self.workers[key.0 as usize];
-        let is_new = worker.starts.values().any(|o| o.reply == 0)
+        let is_new = worker.starts.values().any(|o| o.first_answer == 0)
             || !worker.stops.is_empty()
             || !worker.acks.is_empty();
         if !is_new && !force {
             return None;
         }
         // The term in the upper bits keeps numbers rising across changes of leader.
-        worker.reply = (worker.reply + 1).max(self.term << 32);
+        worker.last_answer = (worker.last_answer + 1).max(self.term << 32);
         worker.lease_until = now + with_clock_margin(WORKER_LEASE);
-        let number = worker.reply;
-        for ordered in worker.starts.values_mut().filter(|o| o.reply == 0) {
-            ordered.reply = number;
+        let number = worker.last_answer;
+        for pending in worker.starts.values_mut().filter(|o| o.first_answer == 0) {
+            pending.first_answer = number;
         }
         Some(Orders {
             number,
@@ -198,24 +198,24 @@
         })
     }
 
-    fn worker_of(&mut self, now: Moment, poll: &Poll) -> Result<WorkerKey> {
+    fn register_worker(&mut self, now: Moment, poll: &Poll) -> Result<WorkerKey> {
         let count = u32::try_from(self.racks.len()).expect("fewer than 2^32 racks");
         let rack = *self.racks.entry(poll.rack.clone()).or_insert(count);
-        let Some(&key) = self.names.get(&poll.name) else {
+        let Some(&key) = self.keys_by_name.get(&poll.name) else {
             let key = WorkerKey(u32::try_from(self.workers.len()).expect("fewer workers"));
             self.workers.push(new_worker(poll, rack));
-            self.names.insert(poll.name.clone(), key);
+            self.keys_by_name.insert(poll.name.clone(), key);
             return Ok(key);
         };
         let worker = &mut self.workers[key.0 as usize];
-        let known = (worker.incarnation, worker.poll);
+        let known = (worker.incarnation, worker.last_poll);
         if (poll.incarnation, poll.number) <= known {
             let message = "stale poll: a newer poll of this worker was already accepted";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         if poll.incarnation > worker.incarnation {
             // The tasks of the previous incarnation ended with its process.
-            self.lose_tasks(now, key, true);
+            self.give_up_tasks(now, key, true);
             let worker = &mut self.workers[key.0 as usize];
             worker.incarnation = poll.incarnation;
             worker.stops.clear();
@@ -230,7 +230,7 @@
         Ok(key)
     }
 
-    fn take_end(&mut self, now: Moment, key: WorkerKey, end: &EndReport) {
+    fn handle_end(&mut self, now: Moment, key: WorkerKey, end: &EndReport) {
         let worker = &mut self.workers[key.0 as usize];
         worker.stops.remove(&(end.task, end.attempt));
         let is_current = worker.tasks.get(&end.task) == Some(&end.attempt);
@@ -238,7 +238,7 @@
             let is_ending = self
                 .jobs
                 .get(&end.task.job)
-                .is_some_and(|job| job.ending.contains(&end.task.index));
+                .is_some_and(|job| job.unrecorded.contains(&end.task.index));
             let adopts = end.ok && self.adopt_end(key, end);
             // An end that the registry has yet to record is acknowledged after that.
             if !is_ending && !adopts {
@@ -247,9 +247,9 @@
             }
             return;
         }
-        let team = self.vacate(now, key, end.task);
+        let team = self.release_task(now, key, end.task);
         if let Some(team) = team {
-            self.return_unit(&team);
+            self.release_unit(&team);
         }
         self.events.push(Event::TaskEnded {
             task: end.task.to_string(),
@@ -262,11 +262,11 @@
             return;
         }
         if end.ok {
-            self.record_run(now, key, true);
-            self.acks.insert(end.task, (key, end.attempt));
+            self.record_outcome(now, key, true);
+            self.pending_acks.insert(end.task, (key, end.attempt));
             let job = self.jobs.get_mut(&end.task.job).expect("known job");
             job.failures = 0;
-            job.ending.insert(end.task.index);
+            job.unrecorded.insert(end.task.index);
             self.ended.push(Ended {
                 task: end.task,
                 ok: true,
@@ -280,7 +280,7 @@
         if end.evicted {
             self.requeue(end.task);
         } else {
-            self.take_failure(now, key, end.task);
+            self.handle_failure(now, key, end.task);
         }
     }
 
@@ -292,8 +292,8 @@
         if !job.unsettled.remove(&end.task.index) {
             return false;
         }
-        job.ending.insert(end.task.index);
-        self.acks.insert(end.task, (key, end.attempt));
+        job.unrecorded.insert(end.task.index);
+        self.pending_acks.insert(end.task, (key, end.attempt));
         self.ended.push(Ended {
             task: end.task,
             ok: true,
@@ -302,9 +302,9 @@
         true
     }
 
-    fn record_run(&mut self, now: Moment, key: WorkerKey, ok: bool) {
-        self.failures.record(ok);
-        let rate = self.failures;
+    fn record_outcome(&mut self, now: Moment, key: WorkerKey, ok: bool) {
+        self.failure_rate.record(ok);
+        let rate = self.failure_rate;
         let worker = &mut self.workers[key.0 as usize];
         if let Some(length) = worker.health.record(now, ok, rate) {
             let worker = worker.name.clone();
@@ -314,9 +314,9 @@
         }
     }
 
-    fn take_failure(&mut self, now: Moment, key: WorkerKey, task: Task) {
+    fn handle_failure(&mut self, now: Moment, key: WorkerKey, task: Task) {
         let suspect = self.workers[key.0 as usize].health.is_suspect();
-        self.record_run(now, key, false);
+        self.record_outcome(now, key, false);
         let quarantined = self.workers[key.0 as usize].health.is_quarantined();
         let job = self.jobs.get_mut(&task.job).expect("known job");
         if !job.spec.rerun {
@@ -330,10 +330,10 @@
         // Failures on a worker that fails all its tasks do not count against the job.
         if !suspect && !quarantined {
             job.failures += 1;
-            if job.failures > FAILURES_FREE {
+            if job.failures > FAILURES_BEFORE_BACKOFF {
                 let pause = BACKOFF_BASE
-                    .saturating_mul(1 << (job.failures - FAILURES_FREE).min(10))
-                    .min(BACKOFF_CAP);
+                    .saturating_mul(1 << (job.failures - FAILURES_BEFORE_BACKOFF).min(10))
+                    .min(BACKOFF_MAX);
                 job.not_before = now + pause;
             }
         }
@@ -345,14 +345,14 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.size = self.estimates.size(&job.team, &job.spec);
             job.waiting.insert(task.index);
-            self.enlist(task.job);
+            self.enqueue(task.job);
         }
     }
 
-    fn take_run(&mut self, now: Moment, key: WorkerKey, run: &RunReport) {
+    fn handle_run(&mut self, now: Moment, key: WorkerKey, run: &RunReport) {
         let worker = &mut self.workers[key.0 as usize];
-        if let Some(ordered) = worker.starts.get(&run.task)
-            && ordered.start.attempt == run.attempt
+        if let Some(pending) = worker.starts.get(&run.task)
+            && pending.start.attempt == run.attempt
         {
             worker.starts.remove(&run.task);
         }
@@ -362,13 +362,13 @@
                 if !self.adopt_run(now, key, run) {
                     let worker = &mut self.workers[key.0 as usize];
                     worker.order_stop(run.task, run.attempt, How::Stop);
-                    self.woken.insert(key);
+                    self.to_notify.insert(key);
                     return;
                 }
             }
         }
         if let Some(used) = run.used {
-            self.take_usage(now, key, run.task, used);
+            self.record_usage(now, key, run.task, used);
         }
     }
 
@@ -382,13 +382,13 @@
         }
         let team = job.team.clone();
         self.reserve(now, key, run.task, run.attempt, run.size);
-        self.adopted_units.push(team);
+        self.adopted_teams.push(team);
         true
     }
 
     // Queues tasks again that the worker should know of but does not report: those that it
     // ran before, and those ordered in an answer that it has carried out.
-    fn find_missing(&mut self, now: Moment, key: WorkerKey, poll: &Poll) {
+    fn requeue_missing(&mut self, now: Moment, key: WorkerKey, poll: &Poll) {
         let worker = &self.workers[key.0 as usize];
         let reported: std::collections::BTreeSet<Task> = poll
             .running
@@ -401,14 +401,14 @@
             .keys()
             .filter(|task| !reported.contains(*task))
             .filter(|task| match worker.starts.get(*task) {
-                Some(ordered) => ordered.reply > 0 && ordered.reply <= poll.seen,
-                None => !worker.held.contains_key(*task),
+                Some(pending) => pending.first_answer > 0 && pending.first_answer <= poll.seen,
+                None => !worker.preempting.contains_key(*task),
             })
             .copied()
             .collect();
         for task in missing {
-            if let Some(team) = self.vacate(now, key, task) {
-                self.return_unit(&team);
+            if let Some(team) = self.release_task(now, key, task) {
+                self.release_unit(&team);
             }
             self.requeue(task);
         }
@@ -419,7 +419,7 @@
             let key = WorkerKey(u32::try_from(at).expect("fewer workers"));
             let worker = &mut self.workers[at];
             if worker.health.tick(now) {
-                self.refresh(key);
+                self.update_index(key);
             }
             let worker = &mut self.workers[at];
             if !worker.up || now < worker.lease_until {
@@ -429,24 +429,24 @@
             self.total = self.total.minus(worker.total);
             let name = worker.name.clone();
             self.events.push(Event::WorkerSilent { worker: name });
-            self.lose_tasks(now, key, false);
-            self.refresh(key);
+            self.give_up_tasks(now, key, false);
+            self.update_index(key);
         }
     }
 
     // Gives up the tasks of a worker that restarted or whose lease expired, since they no
     // longer run. After an expiry, tasks of jobs with `Unreachable::Keep` stay assigned.
-    fn lose_tasks(&mut self, now: Moment, key: WorkerKey, restarted: bool) {
+    fn give_up_tasks(&mut self, now: Moment, key: WorkerKey, restarted: bool) {
         let tasks: Vec<Task> = self.workers[key.0 as usize].tasks.keys().copied().collect();
         for task in tasks {
-            let keep = self
+            let stays_assigned = self
                 .jobs
                 .get(&task.job)
                 .is_some_and(|job| job.spec.unreachable == Unreachable::Keep);
-            if keep && !restarted {
+            if stays_assigned && !restarted {
                 let job = self.jobs.get_mut(&task.job).expect("known job");
                 if let Some(placement) = job.placed.get_mut(&task.index) {
-                    placement.kept = true;
+                    placement.awaits_worker = true;
                 }
                 continue;
             }
@@ -455,11 +455,11 @@
                 task: task.to_string(),
                 worker,
             });
-            if let Some(team) = self.vacate(now, key, task) {
-                self.return_unit(&team);
+            if let Some(team) = self.release_task(now, key, task) {
+                self.release_unit(&team);
             }
             if let Some(job) = self.jobs.get(&task.job) {
-                self.lost.insert((job.rank, task));
+                self.lost_tasks.insert((job.rank, task));
             }
         }
     }
@@ -475,8 +475,8 @@
         lease_until: Moment::ZERO,
         up: false,
         tasks: Default::default(),
-        held: Default::default(),
-        kept: Size::default(),
+        preempting: Default::default(),
+        gang_reserved: Size::default(),
         draining: false,
         starts: Default::default(),
         stops: Default::default(),
@@ -484,7 +484,7 @@
         orphans: Default::default(),
         used: Default::default(),
         health: Default::default(),
-        poll: 0,
-        reply: 0,
+        last_poll: 0,
+        last_answer: 0,
     }
 }
--- a/src/core/fleet/relief.rs
+++ b/src/core/fleet/relief.rs
@@ -7,7 +7,7 @@
 impl Fleet {
     /// Records a task's reported usage, and raises its reservation to it if the worker has
     /// enough unreserved resources.
-    pub(super) fn take_usage(&mut self, now: Moment, key: WorkerKey, task: Task, used: Size) {
+    pub(super) fn record_usage(&mut self, now: Moment, key: WorkerKey, task: Task, used: Size) {
         self.workers[key.0 as usize].used.insert(task, used);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -31,12 +31,12 @@
         placement.size = grown;
         worker.reserved = worker.reserved.plus(extra);
         let team = job.team.clone();
-        self.charge(now, &team, |running| running.plus(extra));
+        self.update_usage(now, &team, |running| running.plus(extra));
     }
 
     /// Relieves a worker whose tasks together use more than it has: checkpoints a task if
     /// memory is exceeded, throttles one if only processors are.
-    pub(super) fn relieve(&mut self, key: WorkerKey) {
+    pub(super) fn relieve_overload(&mut self, key: WorkerKey) {
         let worker = &self.workers[key.0 as usize];
         let used = worker
             .used
@@ -47,7 +47,7 @@
         if !over_memory && !over_cpu {
             return;
         }
-        let Some((task, used)) = self.worst_overuser(key, over_memory) else {
+        let Some((task, used)) = self.largest_excess(key, over_memory) else {
             return;
         };
         if !over_memory {
@@ -75,7 +75,7 @@
 
     // Returns the task that exceeds its declared size most. Urgent tasks are chosen only
     // after others, and services last.
-    fn worst_overuser(&self, key: WorkerKey, by_memory: bool) -> Option<(Task, Size)> {
+    fn largest_excess(&self, key: WorkerKey, by_memory: bool) -> Option<(Task, Size)> {
         let worker = &self.workers[key.0 as usize];
         let amount = |size: Size| {
             if by_memory {
--- a/src/core/fleet/worker.rs
+++ b/src/core/fleet/worker.rs
@@ -11,11 +11,11 @@
 
 /// Order to start a task that the worker has not confirmed yet.
 #[derive(Clone, Debug)]
-pub struct Ordered {
+pub struct PendingStart {
     /// Order to send until it is confirmed.
     pub start: Start,
     /// Number of the first answer that carried the order, or 0 if none has.
-    pub reply: u64,
+    pub first_answer: u64,
 }
 
 /// Lease, resources, tasks and pending orders of a worker.
@@ -38,13 +38,13 @@
     /// Attempt numbers of the tasks placed on it.
     pub tasks: BTreeMap<Task, u64>,
     /// Urgent tasks that wait for preempted tasks to end, with their sizes.
-    pub held: BTreeMap<Task, Size>,
+    pub preempting: BTreeMap<Task, Size>,
     /// Resources reserved for a gang that has not started.
-    pub kept: Size,
+    pub gang_reserved: Size,
     /// Whether it accepts no other tasks until a gang starts.
     pub draining: bool,
     /// Orders to start tasks that it has not confirmed.
-    pub starts: BTreeMap<Task, Ordered>,
+    pub starts: BTreeMap<Task, PendingStart>,
     /// Orders to end or throttle tasks, by task and attempt.
     pub stops: BTreeMap<(Task, u64), How>,
     /// Ends to acknowledge in the next answer, as task and attempt.
@@ -56,9 +56,9 @@
     /// Recent failures and quarantine.
     pub health: Health,
     /// Sequence number of its latest poll.
-    pub poll: u64,
+    pub last_poll: u64,
     /// Sequence number of the latest answer to it.
-    pub reply: u64,
+    pub last_answer: u64,
 }
 
 /// Status of a worker as shown to operators.
@@ -92,20 +92,23 @@
 
     /// Returns the resources available to new tasks.
     pub fn free(&self) -> Size {
-        let held = self
-            .held
+        let preempting = self
+            .preempting
             .values()
             .fold(Size::default(), |sum, size| sum.plus(*size));
-        self.total.minus(self.reserved).minus(held).minus(self.kept)
+        self.total
+            .minus(self.reserved)
+            .minus(preempting)
+            .minus(self.gang_reserved)
     }
 
     /// Returns how many tasks of a size the worker can run when it is empty.
-    pub fn times_fits(&self, need: Size) -> u64 {
-        Self::times(self.total, need)
+    pub fn task_capacity(&self, need: Size) -> u64 {
+        Self::tasks_in(self.total, need)
     }
 
     /// Returns how many tasks of a size fit into the given resources.
-    pub fn times(amount: Size, need: Size) -> u64 {
+    pub fn tasks_in(amount: Size, need: Size) -> u64 {
         let times = |amount: u64, need: u64| amount.checked_div(need).unwrap_or(u64::MAX);
         times(amount.cpu_milli, need.cpu_milli)
             .min(times(amount.memory_mb, need.memory_mb))
@@ -116,7 +119,13 @@
     /// Adds an order to start a task.
     pub fn order_start(&mut self, start: Start) {
         let task = start.task;
-        self.starts.insert(task, Ordered { start, reply: 0 });
+        self.starts.insert(
+            task,
+            PendingStart {
+                start,
+                first_answer: 0,
+            },
+        );
     }
 
     /// Adds an order to end or throttle a task.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -22,7 +22,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 const START: Moment = Moment::from_millis(1_000_000);
-const LIMIT: u64 = 40;
+const UNITS_PER_TEAM: u64 = 40;
 const TEAMS: [&str; 3] = ["a", "b", "c"];
 
 struct Run {
@@ -33,7 +33,7 @@
 }
 
 /// A simulated worker that follows the worker protocol.
-struct Machine {
+struct SimWorker {
     name: String,
     size: Size,
     incarnation: u64,
@@ -43,11 +43,11 @@
     running: BTreeMap<Task, Run>,
     ended: Vec<EndReport>,
     silent_until: Moment,
-    fails: bool,
-    failed: u32,
+    fails_tasks: bool,
+    failed_tasks: u32,
 }
 
-impl Machine {
+impl SimWorker {
     fn new(at: usize) -> Self {
         Self {
             name: format!("w{at}"),
@@ -63,8 +63,8 @@
             running: BTreeMap::new(),
             ended: Vec::new(),
             silent_until: START,
-            fails: false,
-            failed: 0,
+            fails_tasks: false,
+            failed_tasks: 0,
         }
     }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Moment, sent: Moment, orders: Orders, world: &World) {
+    fn apply_orders(&mut self, now: Moment, sent: Moment, orders: Orders, sim: &Simulation) {
         self.seen = orders.number;
         self.lease_until = sent + Duration::from_millis(orders.lease_ms);
         self.ended
@@ -130,12 +130,12 @@
             let run = Run {
                 attempt: start.attempt,
                 until: now + length,
-                used: world.real_size(start.task),
+                used: sim.actual_size(start.task),
                 size: start.size,
             };
             self.running.insert(start.task, run);
-            if self.fails {
-                self.failed += 1;
+            if self.fails_tasks {
+                self.failed_tasks += 1;
                 self.end(start.task, false, false);
             }
         }
@@ -158,7 +158,7 @@
         }
     }
 
-    fn pass(&mut self, now: Moment) {
+    fn advance(&mut self, now: Moment) {
         let over = now >= self.lease_until;
         let due: Vec<Task> = self
             .running
@@ -180,25 +180,25 @@
     }
 }
 
-struct World {
+struct Simulation {
     seed: u64,
     rng: ChaCha8Rng,
     now: Moment,
     fleet: Fleet,
     term: u64,
     table: Table,
-    machines: Vec<Machine>,
-    taken: BTreeMap<String, u64>,
-    oversize: bool,
-    unproposed: Vec<Ended>,
+    workers: Vec<SimWorker>,
+    granted_units: BTreeMap<String, u64>,
+    misdeclared: bool,
+    unrecorded_ends: Vec<Ended>,
     cancelled: BTreeSet<Id>,
     quarantined: Vec<String>,
 }
 
-impl World {
-    fn new(seed: u64, machines: usize) -> Self {
+impl Simulation {
+    fn new(seed: u64, workers: usize) -> Self {
         let mut fleet = Fleet::new(1, true, START);
-        configure(&mut fleet);
+        configure_teams(&mut fleet);
         Self {
             seed,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -206,22 +206,22 @@
             fleet,
             term: 1,
             table: Table::default(),
-            machines: (0..machines).map(Machine::new).collect(),
-            taken: BTreeMap::new(),
-            oversize: false,
-            unproposed: Vec::new(),
+            workers: (0..workers).map(SimWorker::new).collect(),
+            granted_units: BTreeMap::new(),
+            misdeclared: false,
+            unrecorded_ends: Vec::new(),
             cancelled: BTreeSet::new(),
             quarantined: Vec::new(),
         }
     }
 
     // The usage of a task: its declared size, or from a tenth to ten times that.
-    fn real_size(&self, task: Task) -> Size {
+    fn actual_size(&self, task: Task) -> Size {
         let declared = self
             .table
             .get(task.job)
             .map_or(Size::default(), |j| j.spec.size);
-        if !self.oversize {
+        if !self.misdeclared {
             return declared;
         }
         let factor = [1, 3, 5, 10, 100][(task.job.0 % 5) as usize];
@@ -253,16 +253,16 @@
         self.now = self.now + TICK;
         let now = self.now;
         self.sync();
-        self.supply();
+        self.grant_units();
         self.fleet.tick(now);
-        self.settle();
-        let mut machines = std::mem::take(&mut self.machines);
-        for machine in &mut machines {
-            machine.pass(now);
-            if now < machine.silent_until {
+        self.reclaim_units();
+        let mut workers = std::mem::take(&mut self.workers);
+        for worker in &mut workers {
+            worker.advance(now);
+            if now < worker.silent_until {
                 continue;
             }
-            let poll = machine.poll();
+            let poll = worker.poll();
             let lost = lossy && self.rng.random_ratio(1, 20);
             if lost {
                 continue;
@@ -271,18 +271,18 @@
                 continue;
             }
             self.sync();
-            let orders = self.fleet.orders(now, &machine.name, true);
+            let orders = self.fleet.orders(now, &worker.name, true);
             let answer_lost = lossy && self.rng.random_ratio(1, 20);
             if let Some(orders) = orders.filter(|_| !answer_lost) {
-                machine.carry_out(now, now, orders, self);
+                worker.apply_orders(now, now, orders, self);
             }
         }
-        self.machines = machines;
+        self.workers = workers;
         self.check();
     }
 
     fn sync(&mut self) {
-        self.unproposed.extend(self.fleet.take_ended());
+        self.unrecorded_ends.extend(self.fleet.take_ended());
         for event in self.fleet.take_events() {
             if let Event::WorkerQuarantined { worker, .. } = event {
                 self.quarantined.push(worker);
@@ -290,7 +290,7 @@
         }
         // Delays the registry's record of ended tasks at random.
         if self.rng.random() {
-            let ends = std::mem::take(&mut self.unproposed);
+            let ends = std::mem::take(&mut self.unrecorded_ends);
             self.table.end(&ends);
             for end in ends {
                 self.fleet.confirm_end(end.task);
@@ -307,23 +307,23 @@
         }
     }
 
-    fn supply(&mut self) {
+    fn grant_units(&mut self) {
         for team in self.fleet.take_adopted() {
-            *self.taken.entry(team).or_default() += 1;
+            *self.granted_units.entry(team).or_default() += 1;
         }
-        self.settle();
+        self.reclaim_units();
         for (team, wanted) in self.fleet.wanted_units() {
-            let taken = self.taken.entry(team.clone()).or_default();
-            let units = wanted.min(LIMIT.saturating_sub(*taken));
-            *taken += units;
+            let granted_units = self.granted_units.entry(team.clone()).or_default();
+            let units = wanted.min(UNITS_PER_TEAM.saturating_sub(*granted_units));
+            *granted_units += units;
             self.fleet.add_units(&team, units, wanted);
         }
     }
 
-    fn settle(&mut self) {
+    fn reclaim_units(&mut self) {
         for (team, units) in self.fleet.return_stock() {
-            let taken = self.taken.entry(team).or_default();
-            *taken = taken
+            let granted_units = self.granted_units.entry(team).or_default();
+            *granted_units = granted_units
                 .checked_sub(units)
                 .expect("at most the granted units are returned");
         }
@@ -332,16 +332,16 @@
     fn change_leader(&mut self) {
         self.term += 1;
         self.fleet = Fleet::new(self.term, false, self.now);
-        configure(&mut self.fleet);
-        self.taken.clear();
-        self.unproposed.clear();
+        configure_teams(&mut self.fleet);
+        self.granted_units.clear();
+        self.unrecorded_ends.clear();
     }
 
     fn check(&self) {
         let seed = self.seed;
         let mut places: BTreeMap<Task, u32> = BTreeMap::new();
-        for machine in &self.machines {
-            for task in machine.running.keys() {
+        for worker in &self.workers {
+            for task in worker.running.keys() {
                 *places.entry(*task).or_default() += 1;
             }
         }
@@ -361,48 +361,48 @@
                 stat.total
             );
         }
-        if self.oversize {
+        if self.misdeclared {
             return;
         }
-        for machine in &self.machines {
-            let used = machine
+        for worker in &self.workers {
+            let used = worker
                 .running
                 .values()
                 .fold(Size::default(), |sum, run| sum.plus(run.used));
             assert!(
-                machine.size.fits(used),
+                worker.size.fits(used),
                 "seed {seed}: the tasks of worker {} use {used:?}, more than it has",
-                machine.name
+                worker.name
             );
         }
     }
 
     fn check_limits(&self) {
         let mut running: BTreeMap<&str, u64> = BTreeMap::new();
-        for machine in &self.machines {
-            for task in machine.running.keys() {
+        for worker in &self.workers {
+            for task in worker.running.keys() {
                 let team = self.table.get(task.job).map_or("", |job| &job.team);
                 *running.entry(team).or_default() += 1;
             }
         }
         for (team, count) in running {
             assert!(
-                count <= LIMIT,
-                "seed {}: team {team} runs {count} tasks, over its limit of {LIMIT}",
+                count <= UNITS_PER_TEAM,
+                "seed {}: team {team} runs {count} tasks, over its limit of {UNITS_PER_TEAM}",
                 self.seed
             );
         }
     }
 
-    fn disturb(&mut self) {
-        let count = self.machines.len();
+    fn inject_fault(&mut self) {
+        let count = self.workers.len();
         let at = self.rng.random_range(0..count);
         match self.rng.random_range(0..60) {
             0 => {
                 let length = Duration::from_millis(self.rng.random_range(500..20_000));
-                self.machines[at].silent_until = self.now + length;
+                self.workers[at].silent_until = self.now + length;
             }
-            1 => self.machines[at].restart(),
+            1 => self.workers[at].restart(),
             2 => self.change_leader(),
             3 => {
                 // Cancels about a third of the open jobs.
@@ -438,8 +438,8 @@
     }
 }
 
-fn configure(fleet: &mut Fleet) {
-    let text = TEAMS.map(|t| format!("[team {t}]\nshare = 1\nlimit = {LIMIT}\n"));
+fn configure_teams(fleet: &mut Fleet) {
+    let text = TEAMS.map(|t| format!("[team {t}]\nshare = 1\nlimit = {UNITS_PER_TEAM}\n"));
     let source = Source {
         name: "a.ini".to_owned(),
         text: text.concat(),
@@ -468,35 +468,35 @@
 }
 
 fn schedule(seed: u64) {
-    let mut world = World::new(seed, 6);
+    let mut sim = Simulation::new(seed, 6);
     for step in 0..900 {
         if step % 10 == 0 {
-            let team = TEAMS[world.rng.random_range(0..TEAMS.len())];
-            let spec = world.random_spec();
+            let team = TEAMS[sim.rng.random_range(0..TEAMS.len())];
+            let spec = sim.random_spec();
             // Jobs that can never run are rejected before they are registered.
-            if world.fleet.misfit(&spec).is_none() {
-                world.submit(team, spec);
+            if sim.fleet.misfit(&spec).is_none() {
+                sim.submit(team, spec);
             }
         }
-        world.disturb();
-        world.step(true);
-        world.check_limits();
+        sim.inject_fault();
+        sim.step(true);
+        sim.check_limits();
     }
     // Every accepted job must complete all its tasks or have been cancelled.
-    for machine in &mut world.machines {
-        machine.silent_until = START;
+    for worker in &mut sim.workers {
+        worker.silent_until = START;
     }
     for _ in 0..4_000 {
-        if world.table.open().next().is_none() {
+        if sim.table.open().next().is_none() {
             break;
         }
-        world.step(false);
-        world.check_limits();
+        sim.step(false);
+        sim.check_limits();
     }
-    let open: Vec<String> = world
+    let open: Vec<String> = sim
         .table
         .open()
-        .map(|job| format!("{job:?} {:?}", world.fleet.explain(world.now, job.id)))
+        .map(|job| format!("{job:?} {:?}", sim.fleet.explain(sim.now, job.id)))
         .collect();
     assert!(
         open.is_empty(),
@@ -504,15 +504,15 @@
         open.len(),
         open[0]
     );
-    for job in world.table.iter() {
-        let whole = job.state == State::Done && job.ended_count() == job.spec.tasks;
-        let cancelled = job.state == State::Cancelled && world.cancelled.contains(&job.id);
-        assert!(whole || cancelled, "seed {seed}: {job:?}");
+    for job in sim.table.iter() {
+        let complete = job.state == State::Done && job.ended_count() == job.spec.tasks;
+        let cancelled = job.state == State::Cancelled && sim.cancelled.contains(&job.id);
+        assert!(complete || cancelled, "seed {seed}: {job:?}");
     }
 }
 
 #[test]
-fn schedules_keep_all_promises() {
+fn random_schedules_complete_all_jobs() {
     let total: u64 = std::env::var("SCHEDULES")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -523,37 +523,37 @@
 }
 
 #[test]
-fn failing_worker_is_set_aside_without_hurting_jobs() {
-    let mut world = World::new(1, 6);
-    world.machines[2].fails = true;
-    let id = world.submit("a", spec("job", Class::Batch, 60));
+fn failing_worker_is_quarantined_and_its_job_completes() {
+    let mut sim = Simulation::new(1, 6);
+    sim.workers[2].fails_tasks = true;
+    let id = sim.submit("a", spec("job", Class::Batch, 60));
     for _ in 0..300 {
-        world.step(false);
+        sim.step(false);
     }
     assert!(
-        world.machines[2].failed <= 8,
+        sim.workers[2].failed_tasks <= 8,
         "{} failed starts",
-        world.machines[2].failed
+        sim.workers[2].failed_tasks
     );
-    assert!(world.quarantined.iter().all(|name| name == "w2"));
-    assert!(!world.quarantined.is_empty());
-    let job = world.table.get(id).expect("known");
+    assert!(sim.quarantined.iter().all(|name| name == "w2"));
+    assert!(!sim.quarantined.is_empty());
+    let job = sim.table.get(id).expect("known");
     assert_eq!(job.state, State::Done, "{job:?}");
 }
 
 #[test]
-fn crash_looping_job_backs_off_and_leaves_workers_alone() {
-    let mut world = World::new(2, 6);
-    for machine in &mut world.machines {
-        machine.fails = true;
+fn crash_looping_job_backs_off() {
+    let mut sim = Simulation::new(2, 6);
+    for worker in &mut sim.workers {
+        worker.fails_tasks = true;
     }
-    let id = world.submit("a", spec("loop", Class::Batch, 1));
+    let id = sim.submit("a", spec("loop", Class::Batch, 1));
     for _ in 0..600 {
-        world.step(false);
+        sim.step(false);
     }
-    let failed: u32 = world.machines.iter().map(|m| m.failed).sum();
+    let failed: u32 = sim.workers.iter().map(|w| w.failed_tasks).sum();
     assert!(failed < 20, "{failed} failed starts in a minute");
-    let explanation = world.fleet.explain(world.now, id).expect("open");
+    let explanation = sim.fleet.explain(sim.now, id).expect("open");
     assert!(
         explanation
             .reasons
@@ -564,157 +564,152 @@
 }
 
 #[test]
-fn urgent_work_starts_at_once_on_a_full_fleet() {
-    let mut world = World::new(3, 6);
+fn urgent_job_preempts_others_on_a_full_fleet() {
+    let mut sim = Simulation::new(3, 6);
     let mut low = spec("low", Class::Batch, 24);
     low.size.cpu_milli = 2_000;
     low.run_ms = 600_000;
-    world.submit("a", low);
+    sim.submit("a", low);
     for _ in 0..20 {
-        world.step(false);
+        sim.step(false);
     }
-    let (running, _) = world.fleet.counts();
+    let (running, _) = sim.fleet.counts();
     assert_eq!(running, 24);
     let mut urgent = spec("urgent", Class::Batch, 2);
     urgent.urgent = true;
     urgent.size.cpu_milli = 4_000;
-    let id = world.submit("b", urgent);
+    let id = sim.submit("b", urgent);
     let mut started = None;
     for step in 0..19 {
-        world.step(false);
-        let runs = |m: &Machine| m.running.keys().filter(|t| t.job == id).count();
-        if world.machines.iter().map(runs).sum::<usize>() == 2 {
+        sim.step(false);
+        let runs = |w: &SimWorker| w.running.keys().filter(|t| t.job == id).count();
+        if sim.workers.iter().map(runs).sum::<usize>() == 2 {
             started = Some(step);
             break;
         }
     }
-    // 1.9 s are 19 steps.
-    assert!(
-        started.is_some(),
-        "{:?}",
-        world.fleet.explain(world.now, id)
-    );
+    // The 19 steps are 1.9 s, within which urgent tasks must start.
+    assert!(started.is_some(), "{:?}", sim.fleet.explain(sim.now, id));
 }
 
 #[test]
-fn all_at_once_job_starts_whole_under_a_stream_of_small_ones() {
-    let mut world = World::new(4, 6);
+fn gang_starts_under_a_stream_of_small_jobs() {
+    let mut sim = Simulation::new(4, 6);
     let mut gang = spec("gang", Class::AllAtOnce, 6);
     gang.size.cpu_milli = 8_000;
     let mut id = None;
-    let mut small = 0;
+    let mut partial = 0;
     for step in 0..1_200 {
         if step % 2 == 0 {
             let mut stream = spec("small", Class::Batch, 1);
             stream.run_ms = 2_000;
             stream.size.cpu_milli = 2_000;
-            world.submit("a", stream);
+            sim.submit("a", stream);
         }
         if step == 50 {
-            id = Some(world.submit("b", gang.clone()));
+            id = Some(sim.submit("b", gang.clone()));
         }
-        world.step(false);
+        sim.step(false);
         let Some(id) = id else {
             continue;
         };
-        let count = world
-            .machines
+        let count = sim
+            .workers
             .iter()
-            .flat_map(|m| m.running.keys())
+            .flat_map(|w| w.running.keys())
             .filter(|t| t.job == id)
             .count();
-        small += usize::from(count > 0 && count < 6);
-        if world.table.get(id).is_some_and(|j| j.state == State::Done) {
+        partial += usize::from(count > 0 && count < 6);
+        if sim.table.get(id).is_some_and(|j| j.state == State::Done) {
             // The workers of a gang start and end its tasks at polls a few ticks apart.
-            assert!(small <= 6, "{small} steps with only some tasks running");
+            assert!(partial <= 6, "{partial} steps with only some tasks running");
             return;
         }
     }
-    panic!("{:?}", id.and_then(|id| world.fleet.explain(world.now, id)));
+    panic!("{:?}", id.and_then(|id| sim.fleet.explain(sim.now, id)));
 }
 
 #[test]
-fn wrong_sizes_are_corrected_and_workers_relieved() {
-    let mut world = World::new(5, 6);
-    world.oversize = true;
+fn misdeclared_sizes_are_corrected_and_overloaded_workers_relieved() {
+    let mut sim = Simulation::new(5, 6);
+    sim.misdeclared = true;
     for at in 0..40 {
         let name = format!("n{}", at % 5);
         let mut one = spec(&name, Class::Batch, 4);
         one.size.memory_mb = 300;
         one.size.cpu_milli = 300;
         one.run_ms = 3_000;
-        world.submit(TEAMS[at % 3], one);
+        sim.submit(TEAMS[at % 3], one);
     }
     let mut over = 0;
     for _ in 0..1_500 {
-        world.step(false);
-        for machine in &world.machines {
-            let used = machine
+        sim.step(false);
+        for worker in &sim.workers {
+            let used = worker
                 .running
                 .values()
                 .fold(Size::default(), |sum, run| sum.plus(run.used));
-            over += u32::from(used.memory_mb > machine.size.memory_mb);
+            over += u32::from(used.memory_mb > worker.size.memory_mb);
         }
     }
     assert!(over < 60, "workers exceeded their memory in {over} samples");
     assert!(
-        world.table.open().next().is_none(),
+        sim.table.open().next().is_none(),
         "{:?}",
-        world.table.open().next()
+        sim.table.open().next()
     );
 }
 
 #[test]
 fn kept_task_waits_for_its_silent_worker() {
-    let mut world = World::new(6, 2);
+    let mut sim = Simulation::new(6, 2);
     let mut keep = spec("keep", Class::Service, 1);
     keep.unreachable = Unreachable::Keep;
-    let id = world.submit("a", keep);
+    let id = sim.submit("a", keep);
     for _ in 0..20 {
-        world.step(false);
+        sim.step(false);
     }
-    let at = world
-        .machines
+    let at = sim
+        .workers
         .iter()
-        .position(|m| !m.running.is_empty())
+        .position(|w| !w.running.is_empty())
         .expect("runs");
-    world.machines[at].silent_until = world.now + WORKER_LEASE * 2;
+    sim.workers[at].silent_until = sim.now + WORKER_LEASE * 2;
     for _ in 0..150 {
-        world.step(false);
+        sim.step(false);
     }
-    let explanation = world.fleet.explain(world.now, id).expect("open");
+    let explanation = sim.fleet.explain(sim.now, id).expect("open");
     assert_eq!(explanation.reasons, [Reason::Unreachable { tasks: 1 }]);
     for _ in 0..200 {
-        world.step(false);
+        sim.step(false);
     }
-    assert!(world.machines.iter().any(|m| !m.running.is_empty()));
+    assert!(sim.workers.iter().any(|w| !w.running.is_empty()));
 }
 
 #[test]
-fn wave_of_cancellations_stops_everything() {
-    let mut world = World::new(7, 6);
+fn mass_cancellation_stops_all_tasks() {
+    let mut sim = Simulation::new(7, 6);
     let ids: Vec<Id> = (0..1_000)
         .map(|at| {
             let mut ten = spec("wave", Class::Batch, 10);
             ten.run_ms = 100_000;
-            world.submit(TEAMS[at % 3], ten)
+            sim.submit(TEAMS[at % 3], ten)
         })
         .collect();
     for _ in 0..10 {
-        world.step(false);
+        sim.step(false);
     }
-    assert!(world.fleet.counts().0 > 0);
+    assert!(sim.fleet.counts().0 > 0);
     for id in ids {
-        world.table.cancel(id, None);
+        sim.table.cancel(id, None);
     }
     for _ in 0..5 {
-        world.step(false);
+        sim.step(false);
     }
-    assert_eq!(world.fleet.counts(), (0, 0));
-    assert!(world.machines.iter().all(|m| m.running.is_empty()));
+    assert_eq!(sim.fleet.counts(), (0, 0));
+    assert!(sim.workers.iter().all(|w| w.running.is_empty()));
     assert!(
-        world
-            .fleet
+        sim.fleet
             .workers()
             .all(|w| w.stat().reserved == Size::default())
     );
--- a/tests/tasks.rs
+++ b/tests/tasks.rs
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn jobs_survive_the_death_and_the_pause_of_their_leader() {
+async fn jobs_survive_crash_and_pause_of_the_zone_leader() {
     let mut cell = Cell::serving(&["a", "a", "a"], 1, Duration::from_millis(5)).await;
     let record = start_workers(&cell, "a", 3);
     let leader = cell.zone_leader(0, "a").await;
@@ -91,14 +91,14 @@
     cell.restart(leader);
     cell.wait_serving(leader).await;
     let paused = cell.zone_leader(leader, "a").await;
-    let witness = (paused + 1) % 3;
-    let third = submit_until_accepted(&cell, witness, "three", 40).await;
+    let follower = (paused + 1) % 3;
+    let third = submit_until_accepted(&cell, follower, "three", 40).await;
     cell.pause(paused);
     sleep(Duration::from_secs(3)).await;
     cell.resume(paused);
-    wait_done(&cell, witness, &third, 40).await;
+    wait_done(&cell, follower, &third, 40).await;
     // Submitting with the same idempotency key again returns the same job.
-    let again = submit_until_accepted(&cell, witness, "three", 40).await;
+    let again = submit_until_accepted(&cell, follower, "three", 40).await;
     assert_eq!(again.id, third.id);
     let record = record.lock().expect("record");
     assert_eq!(record.most, 1, "a task ran on {} workers", record.most);
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn job_that_can_never_run_is_refused_with_the_dimension() {
+async fn unplaceable_job_is_refused_naming_the_dimension() {
     let cell = Cell::serving(&["a"], 1, Duration::from_millis(5)).await;
     let _record = start_workers(&cell, "a", 1);
     submit_until_accepted(&cell, 0, "fits", 1).await;
