--- a/src/core/fleet/health.rs
+++ b/src/core/fleet/health.rs
@@ -1,80 +1,86 @@
-//! Failure rates and quarantine of workers.
+//! Quarantine of workers on which tasks keep failing.
 
 use std::time::Duration;
 
 use crate::core::time::Moment;
 
-/// Failures in a row after which a worker is set aside.
-const STREAK_MAX: u32 = 3;
-/// Rate of all workers, in thousandths, above which failures are not one worker's.
-const COMMON_RATE_MILLI: u32 = 500;
-/// First quarantine.
+/// Consecutive failures after which a worker is quarantined.
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
+/// Failure rate over all workers, in thousandths, above which failures are not attributed
+/// to a single worker.
+const COMMON_FAILURE_RATE_MILLI: u32 = 500;
+/// Length of the first quarantine; doubles with each further one.
 const QUARANTINE_BASE: Duration = Duration::from_secs(10);
-/// Longest quarantine.
-const QUARANTINE_CAP: Duration = Duration::from_secs(600);
+/// Longest quarantine of a worker.
+const QUARANTINE_MAX: Duration = Duration::from_secs(600);
 
-/// Decayed share of runs that failed, over all workers.
+/// Exponentially decayed failure rate over all workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rate {
+pub struct FailureRate {
     milli: u32,
 }
 
-impl Rate {
-    /// Takes in how a run ended.
+impl FailureRate {
+    /// Updates the rate with the outcome of a run.
     pub const fn record(&mut self, ok: bool) {
         let target = if ok { 0 } else { 1_000 };
         self.milli = (self.milli * 31 + target) / 32;
     }
 
-    /// Returns whether failures are common everywhere.
+    /// Returns whether failures are too common to be attributed to a single worker.
     pub const fn is_common(self) -> bool {
-        self.milli > COMMON_RATE_MILLI
+        self.milli > COMMON_FAILURE_RATE_MILLI
     }
 }
 
-/// Failures of one worker.
+/// Recent failures and quarantine of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    streak: u32,
-    quarantines: u32,
+    consecutive_failures: u32,
+    backoff_level: u32,
     until: Option<Moment>,
 }
 
 impl Health {
-    /// Returns whether it gets nothing new.
+    /// Returns whether the worker is quarantined and gets no new tasks.
     pub const fn is_quarantined(&self) -> bool {
         self.until.is_some()
     }
 
-    /// Returns whether its latest runs failed, so that failures may be its own.
+    /// Returns whether at least its two latest runs failed, so that the worker may be the
+    /// cause of a further failure.
     pub const fn is_suspect(&self) -> bool {
-        self.streak >= 2
+        self.consecutive_failures >= 2
     }
 
-    /// Takes in how a run ended; yields the length of a quarantine that begins.
-    pub fn record(&mut self, now: Moment, ok: bool, rate: Rate) -> Option<Duration> {
+    /// Records the outcome of a run. Returns the length of the quarantine if one begins.
+    pub fn record(&mut self, now: Moment, ok: bool, rate: FailureRate) -> Option<Duration> {
         if ok {
-            self.streak = 0;
-            self.quarantines = self.quarantines.saturating_sub(1);
+            self.consecutive_failures = 0;
+            self.backoff_level = self.backoff_level.saturating_sub(1);
             return None;
         }
-        self.streak += 1;
-        if self.streak < STREAK_MAX || rate.is_common() || self.until.is_some() {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < CONSECUTIVE_FAILURES_MAX
+            || rate.is_common()
+            || self.until.is_some()
+        {
             return None;
         }
         let length = QUARANTINE_BASE
-            .saturating_mul(1 << self.quarantines.min(10))
-            .min(QUARANTINE_CAP);
-        self.quarantines += 1;
+            .saturating_mul(1 << self.backoff_level.min(10))
+            .min(QUARANTINE_MAX);
+        self.backoff_level += 1;
         self.until = Some(now + length);
         Some(length)
     }
 
-    /// Ends a quarantine whose time is up; one more failure begins the next.
+    /// Ends a quarantine whose time is up and returns whether it did. The next failure
+    /// starts another quarantine.
     pub fn tick(&mut self, now: Moment) -> bool {
         if self.until.is_some_and(|until| now >= until) {
             self.until = None;
-            self.streak = STREAK_MAX - 1;
+            self.consecutive_failures = CONSECUTIVE_FAILURES_MAX - 1;
             return true;
         }
         false
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The task plane of one zone: workers, leases, and which task runs where.
+//! Task scheduling of one zone: worker leases, placement of tasks and their recovery.
 
 mod estimate;
 mod explain;
@@ -23,31 +23,31 @@
 use crate::core::time::{Moment, with_clock_margin};
 use crate::event::Event;
 use estimate::Estimates;
-use gang::Hold;
+use gang::Reservation;
 use index::Index;
 use job::JobState;
 
-/// Term of a worker's lease on the worker's clock. A worker ends its tasks when it
-/// runs out.
+/// Length of a worker's lease, by the worker's clock. A worker ends its tasks when the
+/// lease expires.
 pub const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// Longest time that a poll waits for orders.
+/// Longest time for which a poll is held open until there are orders.
 pub const POLL_WAIT_MAX: Duration = Duration::from_secs(4);
-/// Lost tasks that may be placed anew for each tick.
-const REPLACE_PER_TICK: usize = 10;
-/// Placements in one tick, which bounds the time it takes.
-const PLACE_PER_TICK: usize = 256;
-/// Half-life of a team's recorded usage.
+/// Lost tasks that are queued again per tick.
+const REQUEUES_PER_TICK_MAX: usize = 10;
+/// Most placements per tick, other than of gangs; bounds the time that a tick takes.
+const PLACEMENTS_PER_TICK_MAX: usize = 256;
+/// Half-life of the decayed average of a team's usage.
 const USAGE_HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// Addresses a worker.
+/// Index of a worker in the table of its [`Fleet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub u32);
 
-/// Standing of one team.
+/// Usage, unused units and waiting jobs of one team.
 #[derive(Clone, Debug, Default)]
 struct Team {
     share: u32,
-    stock: u64,
+    available_units: u64,
     running: Size,
     usage: f64,
     usage_at: Moment,
@@ -55,39 +55,40 @@
     waiting: BTreeSet<(job::Rank, Id)>,
 }
 
-/// Tasks and workers of one zone, at its leader.
+/// Scheduler of a zone's tasks on its workers, run by the zone leader.
 #[derive(Debug)]
 pub struct Fleet {
     term: u64,
     settled_at: Moment,
     next_attempt: u64,
     workers: Vec<Worker>,
-    names: HashMap<String, WorkerKey>,
+    keys_by_name: HashMap<String, WorkerKey>,
     racks: HashMap<String, u32>,
     index: Index,
     jobs: BTreeMap<Id, JobState>,
     teams: BTreeMap<String, Team>,
-    order: BTreeSet<(u64, String)>,
+    team_order: BTreeSet<(u64, String)>,
     urgent: BTreeSet<(job::Rank, Id)>,
     gangs: BTreeSet<(job::Rank, Id)>,
-    hold: Option<Hold>,
-    lost: BTreeSet<(job::Rank, Task)>,
+    reservation: Option<Reservation>,
+    lost_tasks: BTreeSet<(job::Rank, Task)>,
     estimates: Estimates,
     queues: BTreeMap<String, Policy>,
     policy: Order,
     total: Size,
     ended: Vec<Ended>,
-    acks: HashMap<Task, (WorkerKey, u64)>,
-    woken: BTreeSet<WorkerKey>,
+    pending_acks: HashMap<Task, (WorkerKey, u64)>,
+    to_notify: BTreeSet<WorkerKey>,
     events: Vec<Event>,
-    failures: health::Rate,
-    adopted_units: Vec<String>,
-    starved: BTreeSet<String>,
+    failure_rate: health::FailureRate,
+    adopted_teams: Vec<String>,
+    teams_at_limit: BTreeSet<String>,
 }
 
 impl Fleet {
-    /// Makes the task plane of a leader that takes office at `now`. Unless it is
-    /// the zone's `first`, tasks of a predecessor may run until their leases end.
+    /// Creates the scheduler of a leader whose `term` begins at `now`. Unless it is the
+    /// zone's `first` leader, tasks that a previous leader placed may run until their
+    /// workers' leases expire.
     pub fn new(term: u64, first: bool, now: Moment) -> Self {
         let settled_at = if first {
             now
@@ -99,31 +100,31 @@
             settled_at,
             next_attempt: 0,
             workers: Vec::new(),
-            names: HashMap::new(),
+            keys_by_name: HashMap::new(),
             racks: HashMap::new(),
             index: Index::default(),
             jobs: BTreeMap::new(),
             teams: BTreeMap::new(),
-            order: BTreeSet::new(),
+            team_order: BTreeSet::new(),
             urgent: BTreeSet::new(),
             gangs: BTreeSet::new(),
-            hold: None,
-            lost: BTreeSet::new(),
+            reservation: None,
+            lost_tasks: BTreeSet::new(),
             estimates: Estimates::default(),
             queues: BTreeMap::new(),
             policy: Order::Share,
             total: Size::default(),
             ended: Vec::new(),
-            acks: HashMap::new(),
-            woken: BTreeSet::new(),
+            pending_acks: HashMap::new(),
+            to_notify: BTreeSet::new(),
             events: Vec::new(),
-            failures: health::Rate::default(),
-            adopted_units: Vec::new(),
-            starved: BTreeSet::new(),
+            failure_rate: health::FailureRate::default(),
+            adopted_teams: Vec::new(),
+            teams_at_limit: BTreeSet::new(),
         }
     }
 
-    /// Takes the configuration in force.
+    /// Applies the configuration: team shares, queue policies and the order of teams.
     pub fn configure(&mut self, config: &Config) {
         self.policy = config.cell.order;
         self.queues = config
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes an open job of this zone, if it is new.
+    /// Adds an open job of this zone, unless it is known.
     pub fn add_job(&mut self, now: Moment, job: &Job) {
         if self.jobs.contains_key(&job.id) {
             return;
@@ -151,17 +152,21 @@
         }
         let id = job.id;
         self.jobs.insert(id, state);
-        self.enlist(id);
+        self.enqueue(id);
     }
 
-    /// Ends a job that is no longer open: its tasks are told to stop.
+    /// Removes a job that is no longer open and orders its tasks to stop.
     pub fn drop_job(&mut self, now: Moment, id: Id) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        self.delist(id, &job);
-        if self.hold.as_ref().is_some_and(|hold| hold.job == id) {
-            self.release_hold();
+        self.dequeue(id, &job);
+        if self
+            .reservation
+            .as_ref()
+            .is_some_and(|reservation| reservation.job == id)
+        {
+            self.cancel_reservation();
         }
         for index in job.placed.keys() {
             let task = Task {
@@ -176,59 +181,58 @@
         let placement = &job.placed[&task.index];
         let key = placement.worker;
         let worker = &mut self.workers[key.0 as usize];
-        if worker.held.remove(&task).is_some() {
-            // It was never ordered to start.
+        if worker.preempting.remove(&task).is_some() {
+            // No start was ordered, so there is nothing to stop.
             worker.tasks.remove(&task);
-            self.refresh(key);
+            self.update_index(key);
             let size = placement.size;
-            self.charge(now, &job.team, |running| running.minus(size));
-            self.return_unit(&job.team);
+            self.update_usage(now, &job.team, |running| running.minus(size));
+            self.release_unit(&job.team);
             return;
         }
         worker.order_stop(task, placement.attempt, How::Stop);
         worker
             .orphans
             .insert(task, (job.team.clone(), placement.size));
-        self.woken.insert(key);
+        self.to_notify.insert(key);
     }
 
-    /// Returns the identities of all jobs.
+    /// Returns the ids of all known jobs.
     pub fn job_ids(&self) -> impl Iterator<Item = Id> {
         self.jobs.keys().copied()
     }
 
-    /// Records that the registry holds the end of a task; its worker may forget it.
+    /// Acknowledges a task's end to its worker, once the registry has recorded it.
     pub fn confirm_end(&mut self, task: Task) {
-        if let Some((key, attempt)) = self.acks.remove(&task) {
+        if let Some((key, attempt)) = self.pending_acks.remove(&task) {
             let worker = &mut self.workers[key.0 as usize];
             worker.acks.push((task, attempt));
-            self.woken.insert(key);
+            self.to_notify.insert(key);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.ending.remove(&task.index);
+            job.unrecorded.remove(&task.index);
         }
     }
 
-    /// Returns ended tasks that the registry is to record.
+    /// Takes the ends that the registry is to record.
     pub fn take_ended(&mut self) -> Vec<Ended> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Returns workers that have new orders since the last call.
+    /// Takes the names of the workers that have new orders since the last call.
     pub fn take_woken(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.woken)
+        std::mem::take(&mut self.to_notify)
             .into_iter()
             .map(|key| self.workers[key.0 as usize].name.clone())
             .collect()
     }
 
-    /// Returns the events since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Returns the units that each team could use for waiting tasks, beside those
-    /// in stock, and those that its running tasks use.
+    /// Returns the units that each team's waiting and placed tasks need in total.
     pub fn unit_demands(&self) -> BTreeMap<String, u64> {
         let mut demands: BTreeMap<String, u64> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -238,7 +242,8 @@
         demands
     }
 
-    /// Returns how many units each team lacks for its waiting tasks.
+    /// Returns how many units each team lacks for its waiting tasks, up to what one tick
+    /// can use.
     pub fn wanted_units(&self) -> Vec<(String, u64)> {
         let mut wanted: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.waiting.is_empty()) {
@@ -252,66 +257,66 @@
         wanted
             .into_iter()
             .filter_map(|(team, (units, largest))| {
-                let stock = self.teams.get(team).map_or(0, |t| t.stock);
-                let useful = PLACE_PER_TICK as u64 + largest;
-                let lack = units.min(useful).saturating_sub(stock);
-                (lack > 0).then(|| (team.to_owned(), lack))
+                let available = self.teams.get(team).map_or(0, |t| t.available_units);
+                let useful = PLACEMENTS_PER_TICK_MAX as u64 + largest;
+                let missing = units.min(useful).saturating_sub(available);
+                (missing > 0).then(|| (team.to_owned(), missing))
             })
             .collect()
     }
 
-    /// Adds units of a team's limit to the stock; `wanted` were asked for.
+    /// Adds units of a team's limit that were granted after a request for `wanted` units.
     pub fn add_units(&mut self, team: &str, units: u64, wanted: u64) {
         let state = self.team_mut(team);
-        state.stock += units;
-        if state.stock == 0 && wanted > 0 {
-            self.starved.insert(team.to_owned());
+        state.available_units += units;
+        if state.available_units == 0 && wanted > 0 {
+            self.teams_at_limit.insert(team.to_owned());
         } else {
-            self.starved.remove(team);
+            self.teams_at_limit.remove(team);
         }
     }
 
-    /// Returns the teams of tasks that were found running since the last call, once
-    /// for each task.
+    /// Takes the teams of the tasks that were found running since the last call, with one
+    /// entry for each task.
     pub fn take_adopted(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.adopted_units)
+        std::mem::take(&mut self.adopted_teams)
     }
 
-    /// Takes all units out of the stock that no hold needs.
+    /// Takes all units that no task uses, by team.
     pub fn return_stock(&mut self) -> Vec<(String, u64)> {
         self.teams
             .iter_mut()
-            .filter(|(_, team)| team.stock > 0)
-            .map(|(name, team)| (name.clone(), std::mem::take(&mut team.stock)))
+            .filter(|(_, team)| team.available_units > 0)
+            .map(|(name, team)| (name.clone(), std::mem::take(&mut team.available_units)))
             .collect()
     }
 
-    /// Lets time pass: leases end, and waiting tasks are placed.
+    /// Expires leases, queues lost tasks again and places waiting tasks.
     pub fn tick(&mut self, now: Moment) {
         self.expire_leases(now);
-        self.settle_unsettled(now);
+        self.requeue_unsettled(now);
         self.requeue_lost();
         self.place_waiting(now);
     }
 
-    /// Returns the total size of all workers.
+    /// Returns the total resources of the workers whose leases are valid.
     pub const fn total(&self) -> Size {
         self.total
     }
 
-    /// Returns all workers.
+    /// Returns all workers, also those whose leases have expired.
     pub fn workers(&self) -> impl Iterator<Item = &Worker> {
         self.workers.iter()
     }
 
-    /// Returns how many tasks run and how many wait.
+    /// Returns the numbers of placed and of waiting tasks.
     pub fn counts(&self) -> (usize, usize) {
         self.jobs.values().fold((0, 0), |(running, waiting), job| {
             (running + job.placed.len(), waiting + job.waiting.len())
         })
     }
 
-    /// Returns each team's dominant share of the zone that its tasks use now.
+    /// Returns the dominant share of the zone that each team's tasks have reserved.
     pub fn dominant_shares(&self) -> BTreeMap<String, f64> {
         self.teams
             .iter()
@@ -319,7 +324,8 @@
             .collect()
     }
 
-    /// Says why a job of this size can never run here, if so.
+    /// Returns why the zone's workers could not run a job even if they were empty, or
+    /// `None` if they could.
     pub fn misfit(&self, spec: &Spec) -> Option<String> {
         let largest = self
             .workers
@@ -328,27 +334,29 @@
             .fold(Size::default(), |size, w| size.max(w.total));
         let need = spec.size;
         let lacks = [
-            ("processor", need.cpu_milli > largest.cpu_milli),
+            ("processors", need.cpu_milli > largest.cpu_milli),
             ("memory", need.memory_mb > largest.memory_mb),
             ("accelerators", need.accelerators > largest.accelerators),
         ];
         if let Some((dimension, _)) = lacks.iter().find(|(_, lack)| *lack) {
-            return Some(format!("no worker has that much of: {dimension}"));
+            return Some(format!(
+                "the task needs more {dimension} than any worker has"
+            ));
         }
         let fits = self.workers.iter().any(|w| w.is_up() && w.total.fits(need));
         if !fits {
-            return Some("no worker has that much of all dimensions together".to_owned());
+            return Some("no single worker is large enough in all dimensions".to_owned());
         }
         if spec.class == Class::AllAtOnce {
             let capacity: u64 = self
                 .workers
                 .iter()
                 .filter(|w| w.is_up())
-                .map(|w| w.times_fits(need))
+                .map(|w| w.task_capacity(need))
                 .sum();
             if capacity < u64::from(spec.tasks) {
                 return Some(format!(
-                    "only {capacity} of {} tasks fit at once",
+                    "the workers can run only {capacity} of {} tasks at the same time",
                     spec.tasks
                 ));
             }
@@ -367,19 +375,19 @@
         self.teams.get_mut(name).expect("just inserted")
     }
 
-    fn return_unit(&mut self, team: &str) {
-        self.team_mut(team).stock += 1;
+    fn release_unit(&mut self, team: &str) {
+        self.team_mut(team).available_units += 1;
     }
 
-    // Brings the free-capacity index up to date with one worker.
-    fn refresh(&mut self, key: WorkerKey) {
+    // Updates a worker's entry in the free-capacity index.
+    fn update_index(&mut self, key: WorkerKey) {
         let worker = &mut self.workers[key.0 as usize];
         let free = worker.is_open().then(|| worker.free());
         self.index.set(key, free);
     }
 
-    // Puts a job with waiting tasks into the queues that placement looks at.
-    fn enlist(&mut self, id: Id) {
+    // Adds a job with waiting tasks to the queue of its class.
+    fn enqueue(&mut self, id: Id) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -396,56 +404,58 @@
             let team_state = self.team_mut(&team);
             team_state.waiting.insert(entry);
             let score = team_state.score;
-            self.order.insert((score, team));
+            self.team_order.insert((score, team));
         }
     }
 
-    fn delist(&mut self, id: Id, job: &JobState) {
+    fn dequeue(&mut self, id: Id, job: &JobState) {
         let entry = (job.rank, id);
         self.gangs.remove(&entry);
         self.urgent.remove(&entry);
         if let Some(team) = self.teams.get_mut(&job.team) {
             team.waiting.remove(&entry);
             if team.waiting.is_empty() {
-                self.order.remove(&(team.score, job.team.clone()));
+                self.team_order.remove(&(team.score, job.team.clone()));
             }
         }
     }
 
-    // Changes what a team runs and its place in the order of teams.
-    fn charge(&mut self, now: Moment, name: &str, change: impl FnOnce(Size) -> Size) {
+    // Updates a team's reserved resources, its usage average and its position in the order
+    // of teams. The score is the sum of current and average dominant share over the weight.
+    fn update_usage(&mut self, now: Moment, name: &str, change: impl FnOnce(Size) -> Size) {
         let total = self.total;
         let team = self.team_mut(name);
         let elapsed = now.since(team.usage_at).as_secs_f64();
-        let keep = 0.5f64.powf(elapsed / USAGE_HALF_LIFE.as_secs_f64());
-        let now_running = team.running.dominant_of(total);
-        team.usage = team.usage * keep + now_running * (1.0 - keep);
+        let decay = 0.5f64.powf(elapsed / USAGE_HALF_LIFE.as_secs_f64());
+        let current = team.running.dominant_of(total);
+        team.usage = team.usage * decay + current * (1.0 - decay);
         team.usage_at = now;
         team.running = change(team.running);
         let level = (team.running.dominant_of(total) + team.usage) / f64::from(team.share.max(1));
         let old = team.score;
-        // Positive floats keep their order as bits.
+        // The bit patterns of non-negative floats sort like their values.
         team.score = level.max(0.0).to_bits();
         let score = team.score;
-        if self.order.remove(&(old, name.to_owned())) {
-            self.order.insert((score, name.to_owned()));
+        if self.team_order.remove(&(old, name.to_owned())) {
+            self.team_order.insert((score, name.to_owned()));
         }
     }
 
     fn requeue_lost(&mut self) {
-        for _ in 0..REPLACE_PER_TICK {
-            let Some((_, task)) = self.lost.pop_first() else {
+        for _ in 0..REQUEUES_PER_TICK_MAX {
+            let Some((_, task)) = self.lost_tasks.pop_first() else {
                 return;
             };
             if let Some(job) = self.jobs.get_mut(&task.job) {
                 job.waiting.insert(task.index);
-                self.enlist(task.job);
+                self.enqueue(task.job);
             }
         }
     }
 
-    // Tasks that no worker has reported by the end of the old leases run nowhere.
-    fn settle_unsettled(&mut self, now: Moment) {
+    // Queues the tasks that no worker has reported by the time at which all leases from the
+    // previous leader have expired, since they run nowhere.
+    fn requeue_unsettled(&mut self, now: Moment) {
         if now < self.settled_at {
             return;
         }
@@ -462,7 +472,7 @@
             }
             let tasks = std::mem::take(&mut job.unsettled);
             job.waiting.extend(tasks);
-            self.enlist(id);
+            self.enqueue(id);
         }
     }
 }
--- a/src/core/fleet/place.rs
+++ b/src/core/fleet/place.rs
@@ -1,44 +1,45 @@
-//! Choosing workers for waiting tasks.
+//! Placement of waiting tasks on workers, and preemption for urgent ones.
 
 use super::index::Index;
 use super::job::Placement;
-use super::{Fleet, How, PLACE_PER_TICK, Start, WorkerKey};
+use super::{Fleet, How, PLACEMENTS_PER_TICK_MAX, Start, WorkerKey};
 use crate::config::{Order, Policy};
 use crate::core::job::{Class, Id, Size, Task, run_time};
 use crate::core::time::Moment;
 use crate::event::Event;
 
-/// Jobs of one team that are tried in one tick before the team has to wait.
-const JOBS_TRIED: usize = 8;
-/// Workers looked at for tasks to evict.
-const EVICT_PROBES: usize = 48;
-/// Part of a job's run time that counts as waited, where waiting time weighs most.
-const RUN_TIME_WEIGHT: u32 = 4;
+/// Jobs of one team that are tried before the team is skipped for the rest of a tick.
+const JOBS_PER_TEAM_MAX: usize = 8;
+/// Workers that are examined, emptiest first, for tasks to preempt.
+const PREEMPTION_WORKERS_MAX: usize = 48;
+/// Weight of a job's estimated run time against its waiting time under [`Order::Wait`], so
+/// that teams with short jobs go first.
+const RUN_TIME_FACTOR: u32 = 4;
 
 impl Fleet {
-    /// Places waiting tasks: urgent ones, all-at-once jobs, then team by team.
+    /// Places urgent tasks, then gangs, then other tasks in the order of teams.
     pub(super) fn place_waiting(&mut self, now: Moment) {
-        let mut left = PLACE_PER_TICK;
-        self.place_urgent(now, &mut left);
+        let mut budget = PLACEMENTS_PER_TICK_MAX;
+        self.place_urgent(now, &mut budget);
         self.place_gangs(now);
         let mut done: Vec<String> = Vec::new();
-        while left > 0 {
+        while budget > 0 {
             let Some(team) = self.next_team(&done) else {
                 break;
             };
-            if self.place_one_of(now, &team) {
-                left -= 1;
+            if self.place_task_of_team(now, &team) {
+                budget -= 1;
             } else {
                 done.push(team);
             }
         }
     }
 
-    // The team furthest below its share, or the one whose first job has waited
-    // longest for its run time.
+    // Returns the next team by the configured order: the one furthest below its share, or
+    // the one whose first job has waited longest relative to its estimated run time.
     fn next_team(&self, done: &[String]) -> Option<String> {
         let mut open = self
-            .order
+            .team_order
             .iter()
             .map(|(_, name)| name)
             .filter(|name| !done.contains(name));
@@ -50,46 +51,47 @@
                     first.map(|(_, id)| {
                         let job = &self.jobs[id];
                         let run = run_time(&job.spec).unwrap_or_default();
-                        job.since + run * RUN_TIME_WEIGHT
+                        job.since + run * RUN_TIME_FACTOR
                     })
                 })
                 .cloned(),
         }
     }
 
-    // Places one task of a team; false if the team has to wait.
-    fn place_one_of(&mut self, now: Moment, team: &str) -> bool {
-        if self.teams[team].stock == 0 {
+    // Places one task of a team. Returns `false` if none of its jobs can be placed.
+    fn place_task_of_team(&mut self, now: Moment, team: &str) -> bool {
+        if self.teams[team].available_units == 0 {
             return false;
         }
         let ids: Vec<Id> = self.teams[team]
             .waiting
             .iter()
-            .take(JOBS_TRIED)
+            .take(JOBS_PER_TEAM_MAX)
             .map(|(_, id)| *id)
             .collect();
-        ids.into_iter().any(|id| self.place_task_of(now, id))
+        ids.into_iter().any(|id| self.place_task_of_job(now, id))
     }
 
-    fn place_task_of(&mut self, now: Moment, id: Id) -> bool {
-        let changes = self.index.changes();
+    fn place_task_of_job(&mut self, now: Moment, id: Id) -> bool {
+        let gains = self.index.gains();
         let job = &self.jobs[&id];
-        if now < job.not_before || job.blocked == Some(changes) {
+        if now < job.not_before || job.blocked_at_gains == Some(gains) {
             return false;
         }
         let Some(&index) = job.waiting.first() else {
             return false;
         };
-        let Some(worker) = self.choose(id) else {
-            self.jobs.get_mut(&id).expect("known job").blocked = Some(changes);
+        let Some(worker) = self.choose_worker(id) else {
+            self.jobs.get_mut(&id).expect("known job").blocked_at_gains = Some(gains);
             return false;
         };
-        self.put(now, worker, Task { job: id, index });
+        self.assign(now, worker, Task { job: id, index });
         true
     }
 
-    /// Chooses a worker for the next task of a job by its queue's policy.
-    pub(super) fn choose(&self, id: Id) -> Option<WorkerKey> {
+    /// Chooses a worker for a job's next task by the policy of its queue. Without one,
+    /// services are spread over racks and other jobs are packed.
+    pub(super) fn choose_worker(&self, id: Id) -> Option<WorkerKey> {
         let job = &self.jobs[&id];
         let policy = match (self.queues.get(&job.spec.queue), job.spec.class) {
             (Some(policy), _) => *policy,
@@ -97,30 +99,30 @@
             (None, Class::Batch | Class::AllAtOnce) => Policy::Pack,
         };
         match policy {
-            Policy::Pack => self.index.tightest(job.size),
+            Policy::Pack => self.index.best_fit(job.size),
             Policy::Spread => {
                 let on_rack = |key: &WorkerKey| {
                     let rack = self.workers[key.0 as usize].rack;
                     job.racks.get(&rack).copied().unwrap_or(0)
                 };
-                let candidates = self.index.emptiest(job.size);
+                let candidates = self.index.spread_candidates(job.size);
                 candidates.into_iter().min_by_key(on_rack)
             }
         }
     }
 
-    /// Puts a task of the stock's team on a worker and orders its start.
-    pub(super) fn put(&mut self, now: Moment, key: WorkerKey, task: Task) {
-        let attempt = self.mint_attempt();
+    /// Assigns a task to a worker, using a unit of its team, and orders its start.
+    pub(super) fn assign(&mut self, now: Moment, key: WorkerKey, task: Task) {
+        let attempt = self.issue_attempt();
         let job = &self.jobs[&task.job];
         let size = job.size;
         let team = job.team.clone();
-        self.team_mut(&team).stock -= 1;
+        self.team_mut(&team).available_units -= 1;
         self.reserve(now, key, task, attempt, size);
         self.order_start(key, task);
     }
 
-    fn mint_attempt(&mut self) -> u64 {
+    fn issue_attempt(&mut self) -> u64 {
         self.next_attempt += 1;
         (self.term << 40) | self.next_attempt
     }
@@ -139,14 +141,14 @@
         let worker = &mut self.workers[key.0 as usize];
         worker.order_start(start);
         let name = worker.name.clone();
-        self.woken.insert(key);
+        self.to_notify.insert(key);
         self.events.push(Event::TaskPlaced {
             task: task.to_string(),
             worker: name,
         });
     }
 
-    /// Records a task on a worker and reserves its size.
+    /// Records a task's placement and reserves its size on the worker.
     pub(super) fn reserve(
         &mut self,
         now: Moment,
@@ -159,11 +161,11 @@
         worker.tasks.insert(task, attempt);
         worker.reserved = worker.reserved.plus(size);
         let rack = worker.rack;
-        self.note_placed(now, key, task, attempt, size, rack);
-        self.refresh(key);
+        self.record_placement(now, key, task, attempt, size, rack);
+        self.update_index(key);
     }
 
-    fn note_placed(
+    fn record_placement(
         &mut self,
         now: Moment,
         worker: WorkerKey,
@@ -174,12 +176,12 @@
     ) {
         let job = self.jobs.get_mut(&task.job).expect("known job");
         job.waiting.remove(&task.index);
-        job.enter_rack(rack);
+        job.add_to_rack(rack);
         let placement = Placement {
             worker,
             attempt,
             size,
-            kept: false,
+            awaits_worker: false,
             evicting: false,
         };
         job.placed.insert(task.index, placement);
@@ -192,14 +194,19 @@
             state.waiting.remove(&entry);
             let (score, empty) = (state.score, state.waiting.is_empty());
             if empty {
-                self.order.remove(&(score, team.clone()));
+                self.team_order.remove(&(score, team.clone()));
             }
         }
-        self.charge(now, &team, |running| running.plus(size));
+        self.update_usage(now, &team, |running| running.plus(size));
     }
 
-    /// Frees what a task had reserved; yields its team, whose unit is free again.
-    pub(super) fn vacate(&mut self, now: Moment, key: WorkerKey, task: Task) -> Option<String> {
+    /// Releases a task's reservation. Returns its team, to which the caller returns the unit.
+    pub(super) fn release_task(
+        &mut self,
+        now: Moment,
+        key: WorkerKey,
+        task: Task,
+    ) -> Option<String> {
         let worker = &mut self.workers[key.0 as usize];
         let attempt = worker.tasks.remove(&task)?;
         worker.starts.remove(&task);
@@ -208,56 +215,59 @@
         let rack = worker.rack;
         if let Some((team, size)) = worker.orphans.remove(&task) {
             worker.reserved = worker.reserved.minus(size);
-            self.charge(now, &team, |running| running.minus(size));
-            self.refresh(key);
-            self.start_held(key);
+            self.update_usage(now, &team, |running| running.minus(size));
+            self.update_index(key);
+            self.start_preempting(key);
             return Some(team);
         }
         let job = self.jobs.get_mut(&task.job)?;
         let placement = job.placed.remove(&task.index)?;
-        job.leave_rack(rack);
+        job.remove_from_rack(rack);
         let team = job.team.clone();
         let worker = &mut self.workers[key.0 as usize];
         let size = placement.size;
-        if worker.held.remove(&task).is_none() {
+        if worker.preempting.remove(&task).is_none() {
             worker.reserved = worker.reserved.minus(size);
         }
-        self.charge(now, &team, |running| running.minus(size));
-        self.refresh(key);
-        self.start_held(key);
+        self.update_usage(now, &team, |running| running.minus(size));
+        self.update_index(key);
+        self.start_preempting(key);
         Some(team)
     }
 
-    fn place_urgent(&mut self, now: Moment, left: &mut usize) {
+    fn place_urgent(&mut self, now: Moment, budget: &mut usize) {
         let ids: Vec<Id> = self.urgent.iter().map(|(_, id)| *id).collect();
         for id in ids {
-            while *left > 0 && self.place_urgent_task(now, id) {
-                *left -= 1;
+            while *budget > 0 && self.place_urgent_task(now, id) {
+                *budget -= 1;
             }
         }
     }
 
     fn place_urgent_task(&mut self, now: Moment, id: Id) -> bool {
         let job = &self.jobs[&id];
-        let has_unit = self.teams.get(&job.team).is_some_and(|t| t.stock > 0);
+        let has_unit = self
+            .teams
+            .get(&job.team)
+            .is_some_and(|t| t.available_units > 0);
         let Some(&index) = job.waiting.first() else {
             return false;
         };
         if now < job.not_before || !has_unit {
             return false;
         }
-        if self.place_task_of(now, id) {
+        if self.place_task_of_job(now, id) {
             return true;
         }
-        self.make_room(now, Task { job: id, index })
+        self.preempt(now, Task { job: id, index })
     }
 
-    // Checkpoints lower work on the worker where the fewest tasks must go. The
-    // urgent task starts once they have ended.
-    fn make_room(&mut self, now: Moment, task: Task) -> bool {
+    // Preempts tasks for an urgent one, on the worker where the fewest have to be
+    // checkpointed. The urgent task starts once they have ended.
+    fn preempt(&mut self, now: Moment, task: Task) -> bool {
         let need = self.jobs[&task.job].size;
         let mut best: Option<(WorkerKey, Vec<Task>)> = None;
-        for key in self.index.all_emptiest().take(EVICT_PROBES) {
+        for key in self.index.by_free_processors().take(PREEMPTION_WORKERS_MAX) {
             if let Some(victims) = self.victims(key, need)
                 && best
                     .as_ref()
@@ -272,16 +282,16 @@
         for victim in victims {
             self.evict(key, victim, How::Checkpoint, "urgent work");
         }
-        let attempt = self.mint_attempt();
+        let attempt = self.issue_attempt();
         let job = &self.jobs[&task.job];
         let (size, team) = (job.size, job.team.clone());
-        self.team_mut(&team).stock -= 1;
+        self.team_mut(&team).available_units -= 1;
         let worker = &mut self.workers[key.0 as usize];
         worker.tasks.insert(task, attempt);
-        worker.held.insert(task, size);
+        worker.preempting.insert(task, size);
         let rack = worker.rack;
-        self.note_placed(now, key, task, attempt, size, rack);
-        self.refresh(key);
+        self.record_placement(now, key, task, attempt, size, rack);
+        self.update_index(key);
         true
     }
 
@@ -310,7 +320,7 @@
         free.fits(need).then_some(victims)
     }
 
-    /// Tells a task to make way or to use less.
+    /// Orders a worker to end or throttle a task.
     pub(super) fn evict(&mut self, key: WorkerKey, task: Task, how: How, reason: &str) {
         let worker = &mut self.workers[key.0 as usize];
         let Some(&attempt) = worker.tasks.get(&task) else {
@@ -318,7 +328,7 @@
         };
         worker.order_stop(task, attempt, how);
         let name = worker.name.clone();
-        self.woken.insert(key);
+        self.to_notify.insert(key);
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(placement) = job.placed.get_mut(&task.index)
         {
@@ -331,23 +341,26 @@
         });
     }
 
-    // Starts urgent tasks for which the room is there now.
-    fn start_held(&mut self, key: WorkerKey) {
-        let held: Vec<(Task, Size)> = self.workers[key.0 as usize]
-            .held
+    // Starts the urgent tasks that waited for preempted tasks to end and now fit.
+    fn start_preempting(&mut self, key: WorkerKey) {
+        let preempting: Vec<(Task, Size)> = self.workers[key.0 as usize]
+            .preempting
             .iter()
             .map(|(task, size)| (*task, *size))
             .collect();
-        for (task, size) in held {
+        for (task, size) in preempting {
             let worker = &mut self.workers[key.0 as usize];
-            let room = worker.total.minus(worker.reserved).minus(worker.kept);
+            let room = worker
+                .total
+                .minus(worker.reserved)
+                .minus(worker.gang_reserved);
             if !room.fits(size) {
                 continue;
             }
-            worker.held.remove(&task);
+            worker.preempting.remove(&task);
             worker.reserved = worker.reserved.plus(size);
             self.order_start(key, task);
-            self.refresh(key);
+            self.update_index(key);
         }
     }
 
--- a/src/core/fleet/poll.rs
+++ b/src/core/fleet/poll.rs
@@ -1,4 +1,4 @@
-//! What workers report and what they are ordered to do.
+//! Worker polls: the reports that workers send and the orders that answer them.
 
 use std::time::Duration;
 
@@ -12,79 +12,79 @@
 use crate::error::{Error, Kind, Result};
 use crate::event::Event;
 
-/// First pause of a job whose tasks fail again and again.
+/// Base of the pause of a job after consecutive failures; doubles with each further one.
 const BACKOFF_BASE: Duration = Duration::from_secs(1);
-/// Longest such pause.
-const BACKOFF_CAP: Duration = Duration::from_secs(300);
-/// Failures in a row before a job is paused.
-const FAILURES_FREE: u32 = 3;
+/// Longest pause of a job after failures.
+const BACKOFF_MAX: Duration = Duration::from_secs(300);
+/// Consecutive failures of a job's tasks that cause no pause.
+const FAILURES_BEFORE_BACKOFF: u32 = 3;
 
-/// A worker's poll: what it runs, what ended.
+/// A worker's poll: its size, its running tasks and the tasks that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Poll {
-    /// Name.
+    /// Name of the worker.
     pub name: String,
-    /// Number that rises with each restart.
+    /// Incarnation number of the worker; rises with each restart.
     pub incarnation: u64,
-    /// Availability zone.
+    /// Availability zone of the worker.
     pub zone: String,
-    /// Rack.
+    /// Rack of the worker.
     pub rack: String,
-    /// What it has.
+    /// Total resources of the worker.
     pub size: Size,
-    /// Number of this poll; rises by one.
+    /// Sequence number of this poll within the incarnation; rises by one.
     pub number: u64,
-    /// Number of the latest answer that it has carried out.
+    /// Number of the latest [`Orders`] that the worker has carried out.
     pub seen: u64,
-    /// Everything that it runs.
+    /// All tasks that the worker runs.
     pub running: Vec<RunReport>,
-    /// Tasks that ended and were not acknowledged yet.
+    /// Tasks that ended and whose end has not been acknowledged.
     pub ended: Vec<EndReport>,
     /// Longest wait for orders, in milliseconds.
     #[serde(default)]
     pub wait_ms: u64,
 }
 
-/// A running task.
+/// Report of a running task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunReport {
-    /// Task.
+    /// Running task.
     pub task: Task,
-    /// Number of its run.
+    /// Attempt number from the order to start it.
     pub attempt: u64,
-    /// Size in the order to start it.
+    /// Reserved size from the order to start it.
     pub size: Size,
-    /// What it uses, if measured.
+    /// Measured resource usage, if known.
     #[serde(default)]
     pub used: Option<Size>,
 }
 
-/// An ended task.
+/// Report of a task that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndReport {
-    /// Task.
+    /// Task that ended.
     pub task: Task,
-    /// Number of its run.
+    /// Attempt number from the order to start it.
     pub attempt: u64,
-    /// Whether it ended well.
+    /// Whether it completed successfully.
     pub ok: bool,
-    /// Whether it was checkpointed or stopped on order.
+    /// Whether it ended because it was checkpointed, stopped on order, or its lease expired.
     #[serde(default)]
     pub evicted: bool,
 }
 
-/// How a task is made to use less.
+/// What a worker is to do with a running task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum How {
-    /// It ends at once.
+    /// End it immediately.
     Stop,
-    /// It saves its state and ends.
+    /// Let it save its state, then end it.
     Checkpoint,
-    /// It goes on with no more processors than reserved.
+    /// Limit it to its reserved processors.
     Throttle,
 }
 
@@ -92,15 +92,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Start {
-    /// Task.
+    /// Task to start.
     pub task: Task,
-    /// Number of this run.
+    /// Attempt number, which serves as the fencing token of this run.
     pub attempt: u64,
-    /// Team.
+    /// Team of the job.
     pub team: String,
     /// Name of the job.
     pub name: String,
-    /// Size reserved.
+    /// Resources reserved for the task.
     pub size: Size,
     /// Estimated run time in milliseconds; zero if it runs until stopped.
     pub run_ms: u64,
@@ -110,46 +110,47 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stop {
-    /// Task.
+    /// Task to end or throttle.
     pub task: Task,
-    /// Number of its run.
+    /// Attempt to which the order applies.
     pub attempt: u64,
-    /// How.
+    /// Action to take.
     pub how: How,
 }
 
-/// Answer to a poll.
+/// Answer to a poll: orders for the worker and a renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Orders {
-    /// Number of this answer.
+    /// Sequence number of this answer; rises also across changes of leader.
     pub number: u64,
-    /// The worker's tasks may run this long after the poll was sent, in
-    /// milliseconds.
+    /// Length of the worker's lease in milliseconds, counted from when it sent the poll.
     pub lease_ms: u64,
-    /// Tasks to start; ones that run already are not to be started again.
+    /// Tasks to start. An order is repeated until the worker reports the task, so tasks
+    /// that already run must not be started again.
     pub start: Vec<Start>,
     /// Tasks to end or throttle.
     pub stop: Vec<Stop>,
-    /// Ended tasks that need not be reported again.
+    /// Acknowledged ends, as task and attempt, which need not be reported again.
     pub ended: Vec<(Task, u64)>,
 }
 
 impl Fleet {
-    /// Takes a poll.
+    /// Handles a worker's poll: renews its lease and applies its reports.
     ///
     /// # Errors
     ///
-    /// Fails with [`Kind::BadAnnouncement`] if it is not credible or older than one
-    /// taken before.
+    /// Fails with [`Kind::BadAnnouncement`] if the name, rack or size is invalid, or if the
+    /// poll is not newer than the last one accepted from this worker.
     pub fn poll(&mut self, now: Moment, poll: &Poll) -> Result<()> {
         if !is_name(&poll.name) || !is_name(&poll.rack) || poll.size.cpu_milli == 0 {
-            let message = "a worker needs a name, a rack and processors";
+            let message =
+                "invalid poll: the worker needs a valid name, a valid rack and processors";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        let key = self.worker_of(now, poll)?;
+        let key = self.register_worker(now, poll)?;
         let worker = &mut self.workers[key.0 as usize];
-        worker.poll = poll.number;
+        worker.last_poll = poll.number;
         if !worker.up {
             worker.up = true;
             self.total = self.total.plus(poll.size);
@@ -159,33 +160,34 @@
         let worker = &mut self.workers[key.0 as usize];
         worker.lease_until = now + with_clock_margin(WORKER_LEASE);
         for end in &poll.ended {
-            self.take_end(now, key, end);
+            self.handle_end(now, key, end);
         }
         for run in &poll.running {
-            self.take_run(now, key, run);
+            self.handle_run(now, key, run);
         }
-        self.find_missing(now, key, poll);
-        self.relieve(key);
-        self.refresh(key);
+        self.requeue_missing(now, key, poll);
+        self.relieve_overload(key);
+        self.update_index(key);
         Ok(())
     }
 
-    /// Returns what to answer a worker's poll, if there is anything new to say.
+    /// Returns the orders that answer a worker's poll, and renews its lease. Returns `None`
+    /// if the worker is unknown, or if there are no new orders and `force` is not set.
     pub fn orders(&mut self, now: Moment, name: &str, force: bool) -> Option<Orders> {
-        let key = *self.names.get(name)?;
+        let key = *self.keys_by_name.get(name)?;
         let worker = &mut self.workers[key.0 as usize];
-        let is_new = worker.starts.values().any(|o| o.reply == 0)
+        let is_new = worker.starts.values().any(|o| o.first_answer == 0)
             || !worker.stops.is_empty()
             || !worker.acks.is_empty();
         if !is_new && !force {
             return None;
         }
-        // Numbers of a later leader are above those of an earlier one.
-        worker.reply = (worker.reply + 1).max(self.term << 32);
+        // The term in the upper bits keeps numbers rising across changes of leader.
+        worker.last_answer = (worker.last_answer + 1).max(self.term << 32);
         worker.lease_until = now + with_clock_margin(WORKER_LEASE);
-        let number = worker.reply;
-        for ordered in worker.starts.values_mut().filter(|o| o.reply == 0) {
-            ordered.reply = number;
+        let number = worker.last_answer;
+        for pending in worker.starts.values_mut().filter(|o| o.first_answer == 0) {
+            pending.first_answer = number;
         }
         Some(Orders {
             number,
@@ -196,24 +198,24 @@
         })
     }
 
-    fn worker_of(&mut self, now: Moment, poll: &Poll) -> Result<WorkerKey> {
+    fn register_worker(&mut self, now: Moment, poll: &Poll) -> Result<WorkerKey> {
         let count = u32::try_from(self.racks.len()).expect("fewer than 2^32 racks");
         let rack = *self.racks.entry(poll.rack.clone()).or_insert(count);
-        let Some(&key) = self.names.get(&poll.name) else {
+        let Some(&key) = self.keys_by_name.get(&poll.name) else {
             let key = WorkerKey(u32::try_from(self.workers.len()).expect("fewer workers"));
             self.workers.push(new_worker(poll, rack));
-            self.names.insert(poll.name.clone(), key);
+            self.keys_by_name.insert(poll.name.clone(), key);
             return Ok(key);
         };
         let worker = &mut self.workers[key.0 as usize];
-        let known = (worker.incarnation, worker.poll);
+        let known = (worker.incarnation, worker.last_poll);
         if (poll.incarnation, poll.number) <= known {
-            let message = "a later poll of this worker was taken";
+            let message = "stale poll: a newer poll of this worker was already accepted";
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
         if poll.incarnation > worker.incarnation {
-            // Its tasks ended with its former process.
-            self.lose_tasks(now, key, true);
+            // The tasks of the previous incarnation ended with its process.
+            self.give_up_tasks(now, key, true);
             let worker = &mut self.workers[key.0 as usize];
             worker.incarnation = poll.incarnation;
             worker.stops.clear();
@@ -228,7 +230,7 @@
         Ok(key)
     }
 
-    fn take_end(&mut self, now: Moment, key: WorkerKey, end: &EndReport) {
+    fn handle_end(&mut self, now: Moment, key: WorkerKey, end: &EndReport) {
         let worker = &mut self.workers[key.0 as usize];
         worker.stops.remove(&(end.task, end.attempt));
         let is_current = worker.tasks.get(&end.task) == Some(&end.attempt);
@@ -236,18 +238,18 @@
             let is_ending = self
                 .jobs
                 .get(&end.task.job)
-                .is_some_and(|job| job.ending.contains(&end.task.index));
+                .is_some_and(|job| job.unrecorded.contains(&end.task.index));
             let adopts = end.ok && self.adopt_end(key, end);
-            // Its acknowledgement follows once the registry holds it.
+            // An end that the registry has yet to record is acknowledged after that.
             if !is_ending && !adopts {
                 let worker = &mut self.workers[key.0 as usize];
                 worker.acks.push((end.task, end.attempt));
             }
             return;
         }
-        let team = self.vacate(now, key, end.task);
+        let team = self.release_task(now, key, end.task);
         if let Some(team) = team {
-            self.return_unit(&team);
+            self.release_unit(&team);
         }
         self.events.push(Event::TaskEnded {
             task: end.task.to_string(),
@@ -260,11 +262,11 @@
             return;
         }
         if end.ok {
-            self.record_run(now, key, true);
-            self.acks.insert(end.task, (key, end.attempt));
+            self.record_outcome(now, key, true);
+            self.pending_acks.insert(end.task, (key, end.attempt));
             let job = self.jobs.get_mut(&end.task.job).expect("known job");
             job.failures = 0;
-            job.ending.insert(end.task.index);
+            job.unrecorded.insert(end.task.index);
             self.ended.push(Ended {
                 task: end.task,
                 ok: true,
@@ -278,11 +280,11 @@
         if end.evicted {
             self.requeue(end.task);
         } else {
-            self.take_failure(now, key, end.task);
+            self.handle_failure(now, key, end.task);
         }
     }
 
-    // A task that ended well under a predecessor of this leader.
+    // Accepts the successful end of a task that a previous leader placed.
     fn adopt_end(&mut self, key: WorkerKey, end: &EndReport) -> bool {
         let Some(job) = self.jobs.get_mut(&end.task.job) else {
             return false;
@@ -290,8 +292,8 @@
         if !job.unsettled.remove(&end.task.index) {
             return false;
         }
-        job.ending.insert(end.task.index);
-        self.acks.insert(end.task, (key, end.attempt));
+        job.unrecorded.insert(end.task.index);
+        self.pending_acks.insert(end.task, (key, end.attempt));
         self.ended.push(Ended {
             task: end.task,
             ok: true,
@@ -300,9 +302,9 @@
         true
     }
 
-    fn record_run(&mut self, now: Moment, key: WorkerKey, ok: bool) {
-        self.failures.record(ok);
-        let rate = self.failures;
+    fn record_outcome(&mut self, now: Moment, key: WorkerKey, ok: bool) {
+        self.failure_rate.record(ok);
+        let rate = self.failure_rate;
         let worker = &mut self.workers[key.0 as usize];
         if let Some(length) = worker.health.record(now, ok, rate) {
             let worker = worker.name.clone();
@@ -312,9 +314,9 @@
         }
     }
 
-    fn take_failure(&mut self, now: Moment, key: WorkerKey, task: Task) {
+    fn handle_failure(&mut self, now: Moment, key: WorkerKey, task: Task) {
         let suspect = self.workers[key.0 as usize].health.is_suspect();
-        self.record_run(now, key, false);
+        self.record_outcome(now, key, false);
         let quarantined = self.workers[key.0 as usize].health.is_quarantined();
         let job = self.jobs.get_mut(&task.job).expect("known job");
         if !job.spec.rerun {
@@ -325,32 +327,32 @@
             });
             return;
         }
-        // Failures of a worker that fails everything don't count against the job.
+        // Failures on a worker that fails all its tasks do not count against the job.
         if !suspect && !quarantined {
             job.failures += 1;
-            if job.failures > FAILURES_FREE {
+            if job.failures > FAILURES_BEFORE_BACKOFF {
                 let pause = BACKOFF_BASE
-                    .saturating_mul(1 << (job.failures - FAILURES_FREE).min(10))
-                    .min(BACKOFF_CAP);
+                    .saturating_mul(1 << (job.failures - FAILURES_BEFORE_BACKOFF).min(10))
+                    .min(BACKOFF_MAX);
                 job.not_before = now + pause;
             }
         }
         self.requeue(task);
     }
 
-    /// Puts a task back among those to be placed.
+    /// Queues a task for placement again, with a current size estimate.
     pub(super) fn requeue(&mut self, task: Task) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.size = self.estimates.size(&job.team, &job.spec);
             job.waiting.insert(task.index);
-            self.enlist(task.job);
+            self.enqueue(task.job);
         }
     }
 
-    fn take_run(&mut self, now: Moment, key: WorkerKey, run: &RunReport) {
+    fn handle_run(&mut self, now: Moment, key: WorkerKey, run: &RunReport) {
         let worker = &mut self.workers[key.0 as usize];
-        if let Some(ordered) = worker.starts.get(&run.task)
-            && ordered.start.attempt == run.attempt
+        if let Some(pending) = worker.starts.get(&run.task)
+            && pending.start.attempt == run.attempt
         {
             worker.starts.remove(&run.task);
         }
@@ -360,17 +362,17 @@
                 if !self.adopt_run(now, key, run) {
                     let worker = &mut self.workers[key.0 as usize];
                     worker.order_stop(run.task, run.attempt, How::Stop);
-                    self.woken.insert(key);
+                    self.to_notify.insert(key);
                     return;
                 }
             }
         }
         if let Some(used) = run.used {
-            self.take_usage(now, key, run.task, used);
+            self.record_usage(now, key, run.task, used);
         }
     }
 
-    // A task that a predecessor of this leader placed.
+    // Takes over a running task that a previous leader placed.
     fn adopt_run(&mut self, now: Moment, key: WorkerKey, run: &RunReport) -> bool {
         let Some(job) = self.jobs.get_mut(&run.task.job) else {
             return false;
@@ -380,13 +382,13 @@
         }
         let team = job.team.clone();
         self.reserve(now, key, run.task, run.attempt, run.size);
-        self.adopted_units.push(team);
+        self.adopted_teams.push(team);
         true
     }
 
-    // Tasks that the worker was told to run before its latest answer and that it
-    // neither runs nor has ended are gone.
-    fn find_missing(&mut self, now: Moment, key: WorkerKey, poll: &Poll) {
+    // Queues tasks again that the worker should know of but does not report: those that it
+    // ran before, and those ordered in an answer that it has carried out.
+    fn requeue_missing(&mut self, now: Moment, key: WorkerKey, poll: &Poll) {
         let worker = &self.workers[key.0 as usize];
         let reported: std::collections::BTreeSet<Task> = poll
             .running
@@ -399,14 +401,14 @@
             .keys()
             .filter(|task| !reported.contains(*task))
             .filter(|task| match worker.starts.get(*task) {
-                Some(ordered) => ordered.reply > 0 && ordered.reply <= poll.seen,
-                None => !worker.held.contains_key(*task),
+                Some(pending) => pending.first_answer > 0 && pending.first_answer <= poll.seen,
+                None => !worker.preempting.contains_key(*task),
             })
             .copied()
             .collect();
         for task in missing {
-            if let Some(team) = self.vacate(now, key, task) {
-                self.return_unit(&team);
+            if let Some(team) = self.release_task(now, key, task) {
+                self.release_unit(&team);
             }
             self.requeue(task);
         }
@@ -417,7 +419,7 @@
             let key = WorkerKey(u32::try_from(at).expect("fewer workers"));
             let worker = &mut self.workers[at];
             if worker.health.tick(now) {
-                self.refresh(key);
+                self.update_index(key);
             }
             let worker = &mut self.workers[at];
             if !worker.up || now < worker.lease_until {
@@ -427,23 +429,24 @@
             self.total = self.total.minus(worker.total);
             let name = worker.name.clone();
             self.events.push(Event::WorkerSilent { worker: name });
-            self.lose_tasks(now, key, false);
-            self.refresh(key);
+            self.give_up_tasks(now, key, false);
+            self.update_index(key);
         }
     }
 
-    // The tasks of a worker whose process or lease has ended run no longer.
-    fn lose_tasks(&mut self, now: Moment, key: WorkerKey, restarted: bool) {
+    // Gives up the tasks of a worker that restarted or whose lease expired, since they no
+    // longer run. After an expiry, tasks of jobs with `Unreachable::Keep` stay assigned.
+    fn give_up_tasks(&mut self, now: Moment, key: WorkerKey, restarted: bool) {
         let tasks: Vec<Task> = self.workers[key.0 as usize].tasks.keys().copied().collect();
         for task in tasks {
-            let keep = self
+            let stays_assigned = self
                 .jobs
                 .get(&task.job)
                 .is_some_and(|job| job.spec.unreachable == Unreachable::Keep);
-            if keep && !restarted {
+            if stays_assigned && !restarted {
                 let job = self.jobs.get_mut(&task.job).expect("known job");
                 if let Some(placement) = job.placed.get_mut(&task.index) {
-                    placement.kept = true;
+                    placement.awaits_worker = true;
                 }
                 continue;
             }
@@ -452,11 +455,11 @@
                 task: task.to_string(),
                 worker,
             });
-            if let Some(team) = self.vacate(now, key, task) {
-                self.return_unit(&team);
+            if let Some(team) = self.release_task(now, key, task) {
+                self.release_unit(&team);
             }
             if let Some(job) = self.jobs.get(&task.job) {
-                self.lost.insert((job.rank, task));
+                self.lost_tasks.insert((job.rank, task));
             }
         }
     }
@@ -472,8 +475,8 @@
         lease_until: Moment::ZERO,
         up: false,
         tasks: Default::default(),
-        held: Default::default(),
-        kept: Size::default(),
+        preempting: Default::default(),
+        gang_reserved: Size::default(),
         draining: false,
         starts: Default::default(),
         stops: Default::default(),
@@ -481,7 +484,7 @@
         orphans: Default::default(),
         used: Default::default(),
         health: Default::default(),
-        poll: 0,
-        reply: 0,
+        last_poll: 0,
+        last_answer: 0,
     }
 }
--- a/tests/tasks.rs
+++ b/tests/tasks.rs
@@ -1,5 +1,5 @@
-//! The task plane with real daemons and stand-in workers, through deaths and
-//! pauses of leaders.
+//! Runs the task scheduler with real daemons and simulated workers, through crashes and
+//! pauses of zone leaders.
 
 mod support;
 
@@ -51,7 +51,10 @@
         if let Some(submitted) = submit(cell, at, id, tasks).await {
             return submitted;
         }
-        assert!(started.elapsed() < PATIENCE, "{id} is not accepted");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "job {id} was not accepted in time"
+        );
         sleep(Duration::from_millis(100)).await;
     }
 }
@@ -65,13 +68,16 @@
         if shown.as_ref().is_ok_and(|job| job.ended == tasks) {
             return;
         }
-        assert!(started.elapsed() < PATIENCE, "{shown:?}");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "the job did not complete in time: {shown:?}"
+        );
         sleep(Duration::from_millis(200)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn jobs_survive_the_death_and_the_pause_of_their_leader() {
+async fn jobs_survive_crash_and_pause_of_the_zone_leader() {
     let mut cell = Cell::serving(&["a", "a", "a"], 1, Duration::from_millis(5)).await;
     let record = start_workers(&cell, "a", 3);
     let leader = cell.zone_leader(0, "a").await;
@@ -85,22 +91,22 @@
     cell.restart(leader);
     cell.wait_serving(leader).await;
     let paused = cell.zone_leader(leader, "a").await;
-    let witness = (paused + 1) % 3;
-    let third = submit_until_accepted(&cell, witness, "three", 40).await;
+    let follower = (paused + 1) % 3;
+    let third = submit_until_accepted(&cell, follower, "three", 40).await;
     cell.pause(paused);
     sleep(Duration::from_secs(3)).await;
     cell.resume(paused);
-    wait_done(&cell, witness, &third, 40).await;
-    // The same submission again is the same job.
-    let again = submit_until_accepted(&cell, witness, "three", 40).await;
+    wait_done(&cell, follower, &third, 40).await;
+    // Submitting with the same idempotency key again returns the same job.
+    let again = submit_until_accepted(&cell, follower, "three", 40).await;
     assert_eq!(again.id, third.id);
     let record = record.lock().expect("record");
-    assert_eq!(record.most, 1, "a task ran in {} places", record.most);
+    assert_eq!(record.most, 1, "a task ran on {} workers", record.most);
     assert_eq!(record.ended, 120);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn job_that_can_never_run_is_refused_with_the_dimension() {
+async fn unplaceable_job_is_refused_naming_the_dimension() {
     let cell = Cell::serving(&["a"], 1, Duration::from_millis(5)).await;
     let _record = start_workers(&cell, "a", 1);
     submit_until_accepted(&cell, 0, "fits", 1).await;
