--- a/src/cell/calls.rs
+++ b/src/cell/calls.rs
@@ -1,4 +1,4 @@
-//! Questions to peers that wait for their answer.
+//! Calls to peers that wait for an answer.
 
 use std::collections::HashMap;
 
@@ -10,15 +10,18 @@
 use crate::net::Link;
 use crate::wire::{Body, Call, Return};
 
-/// Open questions of one instance.
+/// Pending calls of one instance to its peers.
 #[derive(Debug, Default)]
 pub struct Calls {
+    /// Id of the latest call.
     next: u64,
+    /// Pending calls by id, each with the peer that may answer it.
     open: HashMap<u64, (InstanceId, oneshot::Sender<RemoteAnswer>)>,
 }
 
 impl Calls {
-    /// Sends a question over a link.
+    /// Sends a call to `peer` over `link` and returns the receiver of its answer. The
+    /// receiver fails if the call is dropped, as when the peer's links go down.
     pub fn send(
         &mut self,
         peer: InstanceId,
@@ -35,7 +38,12 @@
         answer
     }
 
-    /// Takes an answer. One that came too late or twice belongs to nothing.
+    /// Passes an answer on to the caller that waits for it. An answer that is late,
+    /// duplicate or not from the peer that was called is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the answer cannot be decoded; the call stays pending.
     pub fn take(&mut self, from: InstanceId, back: &Return) -> Result<(), postcard::Error> {
         let is_from = |(peer, _): &(InstanceId, _)| *peer == from;
         if !self.open.get(&back.id).is_some_and(is_from) {
@@ -43,21 +51,20 @@
         }
         let answer: RemoteAnswer = codec::decode(&back.body)?;
         if let Some((_, reply)) = self.open.remove(&back.id) {
-            // The caller may have given up waiting.
+            // Sending fails if the caller no longer waits.
             let _ = reply.send(answer);
         }
         Ok(())
     }
 
-    /// Gives up questions to a peer whose links are down, and those that nobody
-    /// waits for.
+    /// Drops calls to peers without a link and calls whose caller no longer waits.
     pub fn sweep(&mut self, links: &Links) {
         self.open
             .retain(|_, (peer, reply)| links.contains_key(peer) && !reply.is_closed());
     }
 }
 
-/// Sends an answer.
+/// Answers a peer's call `id` over `link`.
 pub fn answer(link: &Link, id: u64, answer: &RemoteAnswer) {
     link.send(Body::Return(Return {
         id,
--- a/src/cell/control/links.rs
+++ b/src/cell/control/links.rs
@@ -1,4 +1,4 @@
-//! Links to other instances and their messages.
+//! Handling of links to other instances and of their messages.
 
 use std::sync::Arc;
 
@@ -67,15 +67,15 @@
             Body::Ping(ping) => self.mesh.learn(&ping.peers),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
                 Ok(remote) => self.take_remote(from, call.id, remote),
-                Err(err) => self.unreadable("a peer's question", &err),
+                Err(err) => self.unreadable("call from a peer", &err),
             },
             Body::Return(back) => {
                 if let Err(err) = self.calls.take(from, &back) {
-                    self.unreadable("a peer's answer", &err);
+                    self.unreadable("answer from a peer", &err);
                 }
             }
-            // Word of the leader also comes with its entries, and zones have no
-            // leaders of their own here.
+            // Leader heartbeats are not needed here, since the leader's log entries identify
+            // it. Zone messages are not used: this kind of cell has no zone leaders.
             _ => {}
         }
     }
@@ -125,7 +125,7 @@
         }
         let leader = self.replica.leader().and_then(|id| self.instance_of(id));
         let Some((leader, link)) = leader.and_then(|id| Some((id, self.link(id)?.clone()))) else {
-            // The asker may have gone.
+            // Sending fails if the caller no longer waits.
             let _ = asked.reply.send(Answer::NotLeader);
             return;
         };
--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log: sending, storing, applying, compacting.
+//! The replicated log: sends messages, stores and applies entries, compacts the log.
 
 use super::{COMPACT_BYTES, COMPACT_ENTRIES, Control};
 use crate::cell::Port;
@@ -11,7 +11,9 @@
 use crate::wire::{Body, Entry, Raft};
 
 impl<P: Port> Control<P> {
-    // Sends, stores and applies what the replica has to do.
+    // Processes the replica's output until there is none: sends messages, hands entries to
+    // the disk thread and applies committed entries. While a write is in progress, only
+    // output that needs no further write is processed.
     pub(super) fn pump(&mut self) {
         loop {
             let now = self.clock.now();
@@ -30,7 +32,7 @@
             if ready.is_idle() {
                 break;
             }
-            // Followers may have a leader's entries before its own disk does.
+            // A leader may send entries to followers before its own write completes.
             if self.replica.is_leader() && ready.hard.is_none() || !ready.needs_disk() {
                 let messages = std::mem::take(&mut ready.messages);
                 self.send_all(messages);
@@ -75,7 +77,7 @@
         }
     }
 
-    // The name of a replica's instance, or its number if it has not been seen.
+    // Returns the instance name of a replica, or its number if it is not linked.
     fn name_of(&self, replica: u64) -> String {
         let peer = self.peers.values().find(|p| p.replica == replica);
         peer.map_or_else(|| replica.to_string(), |p| p.name.clone())
@@ -87,7 +89,7 @@
         let ready = Box::new(ready);
         if self.jobs.send(Job::Store { ready, last }).is_err() {
             self.journal.write(&Line::DiskRefused {
-                error: "the disk's thread has ended".to_owned(),
+                error: "disk thread has ended; stopping this instance".to_owned(),
             });
             self.token.cancel();
         }
@@ -114,8 +116,8 @@
                 self.state.applied = index;
             }
             Err(err) => {
-                // Going on would apply entries to the wrong state.
-                self.unreadable("a snapshot", &err);
+                // Continuing would apply later entries to the wrong state.
+                self.unreadable("state in a snapshot", &err);
                 self.token.cancel();
             }
         }
@@ -137,7 +139,7 @@
         if !entry.command.is_empty() {
             match codec::decode::<Command>(&entry.command) {
                 Ok(command) => self.apply_command(command),
-                Err(err) => self.unreadable("a log entry", &err),
+                Err(err) => self.unreadable("command in a log entry", &err),
             }
         }
         self.state.applied = entry.index;
@@ -164,7 +166,7 @@
 
     pub(super) fn send_all(&mut self, messages: Vec<Raft>) {
         for raft in messages {
-            // Replica 0 stands for all.
+            // Replica 0 addresses all durable peers.
             if raft.to == 0 {
                 let durable = self.peers.values().filter(|p| p.durable);
                 for peer in durable {
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -1,4 +1,5 @@
-//! The loop of a control instance: agreement, the leader's decisions and the disk.
+//! Event loop of a control instance: it drives the replica, the leader's decisions and
+//! the disk thread.
 
 mod links;
 mod log;
@@ -36,31 +37,35 @@
 use crate::store::{Folder, Wal};
 use crate::wire::{Body, Leading, Ping, Voter};
 
-/// Longest pause of the loop while it leads: the shortest interval of its timers.
+/// Longest wait of the loop on a leader: the shortest interval of the leader's timers.
 const LEAD_TICK: Duration = Duration::from_millis(20);
-/// Longest pause of the loop otherwise.
+/// Longest wait of the loop on any other instance.
 const IDLE_TICK: Duration = Duration::from_millis(50);
-/// Inputs taken before the log is stored once for all of them.
+/// Largest number of inputs that share one write of the log.
 const BATCH_MAX: usize = 512;
-/// A gap between turns of the loop above this counts as a suspension.
+/// A longer gap between iterations of the loop is logged as a suspension of the process.
 const PAUSE_MIN: Duration = Duration::from_millis(1_000);
-/// Interval at which the voters are reviewed.
+/// Interval at which the leader checks whether voters need to be replaced.
 const ROSTER_EVERY: Duration = Duration::from_millis(200);
-/// Bytes of log after which a snapshot is made: a tenth of the smallest disk.
+/// Log size at which the log is compacted: a tenth of the smallest supported disk.
 const COMPACT_BYTES: usize = 12 << 20;
-/// Entries of log after which a snapshot is made.
+/// Number of log entries at which the log is compacted.
 const COMPACT_ENTRIES: usize = 40_000;
 
-/// Results that come back from tasks of the process.
+/// Result of a request that a spawned task made for the leader. The numbers are the term
+/// in which it was made and the number of the order or permission request.
 #[derive(Debug)]
 enum Back {
     Reply(u64, u64, Reply),
     Permission(u64, u64, Permission),
 }
 
+/// Where the answer to a query goes.
 #[derive(Debug)]
 enum Origin {
+    /// A peer, and the peer's id of the call.
     Peer(InstanceId, u64),
+    /// A caller in this process.
     Local(oneshot::Sender<Answer>),
 }
 
@@ -81,22 +86,27 @@
     mesh: Arc<Mesh>,
     replica: Replica,
     state: State,
+    /// Term and state of the leader role while this instance has it.
     lead: Option<(u64, Lead)>,
     peers: BTreeMap<InstanceId, Peer>,
     links: Links,
     calls: Calls,
     origins: HashMap<Call, Origin>,
     next_call: u64,
-    /// Answers by the log entry that they wait for.
+    /// Answers to send once the log entry with this index is applied.
     waiting: BTreeMap<u64, Vec<(Call, Answer)>>,
+    /// When the entry with this index was proposed.
     proposed_at: BTreeMap<u64, Moment>,
     jobs: std::sync::mpsc::Sender<Job>,
+    /// Whether the disk thread has a write to finish.
     storing: bool,
+    /// Whether the disk thread has a snapshot to finish.
     compacting: bool,
     back: mpsc::Sender<Back>,
     ping_at: Moment,
     leading_at: Moment,
     roster_at: Moment,
+    /// Replica that was last logged as the leader.
     seen_leader: Option<u64>,
     resign: Arc<Notify>,
     token: CancellationToken,
@@ -106,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the peer address is taken or the data folder cannot be used.
+/// Fails if the peer address cannot be bound or the data folder cannot be used.
 pub async fn start<P: Port>(
     settings: Settings,
     port: Arc<P>,
@@ -200,7 +210,7 @@
 
 fn read_state(data: &[u8]) -> Result<State> {
     codec::decode(data).map_err(|err| {
-        let message = format!("the snapshot cannot be read: {err}");
+        let message = format!("state in the stored snapshot cannot be decoded: {err}");
         crate::error::Error::new(crate::error::Kind::Internal, message)
     })
 }
@@ -283,8 +293,8 @@
         }
     }
 
-    // Of the seeds of a new cell, the one with the lowest address founds it, once it
-    // sees that the others are new too.
+    // Bootstraps a new cell. Only the seed with the lowest address does so, and only once
+    // it is linked to all other seeds and none of them belongs to a group yet.
     fn found(&mut self, now: Moment) {
         if !self.settings.founding || !self.replica.is_blank() {
             return;
@@ -327,7 +337,8 @@
             peers,
             ..Ping::default()
         };
-        // On every link: each side may send on another one of two.
+        // Pings go out on every link: if both peers dialed, each side may use a different
+        // link for its messages, and a silent link is closed.
         for link in self.links.values().flatten() {
             link.send(Body::Ping(ping.clone()));
         }
@@ -377,12 +388,13 @@
             replace_after: self.settings.replace_after,
         };
         if let Some(next) = roster::next_voters(now, &self.replica, &places, wanted) {
-            // Refused while another change is under way; the next review tries again.
+            // Rejected while another membership change is in progress; retried at the next
+            // review.
             let _ = self.replica.propose_voters(next);
         }
     }
 
-    // Whether this instance leads and its lease holds.
+    // Returns whether this instance leads and holds a valid lease.
     fn leads(&self, now: Moment) -> bool {
         self.lead.is_some() && self.replica.is_leased(now)
     }
@@ -465,7 +477,7 @@
                     calls::answer(link, id, &RemoteAnswer::Query(answer));
                 }
             }
-            // The asker may have given up waiting.
+            // Sending fails if the caller no longer waits.
             Some(Origin::Local(reply)) => drop(reply.send(answer)),
             None => {}
         }
@@ -483,7 +495,7 @@
             Back::Permission(of, number, permission) if of == *term => {
                 lead.permission(now, &self.state, number, permission)
             }
-            // Of an earlier term of this process.
+            // The request was made in an earlier term of this instance.
             Back::Reply(..) | Back::Permission(..) => return,
         };
         self.carry_out(effects);
@@ -548,7 +560,7 @@
             } else {
                 Reply::NotSent
             };
-            // The loop ends before its tasks when the process stops.
+            // Sending fails during shutdown, when the loop ends before its tasks.
             let _ = back.send(Back::Reply(term, number, reply)).await;
         });
     }
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -1,5 +1,5 @@
-//! An entry instance: passes callers' questions on to the leader and asks the
-//! permission service for it. It keeps no state of its own.
+//! Entry instance: forwards callers' queries to the leader and sends permission requests
+//! on the leader's behalf. It stores nothing.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -23,41 +23,42 @@
 use crate::net::{Link, Mesh, Notice};
 use crate::wire::{Body, Ping};
 
-/// A leader whose word is older is not counted on: four intervals of its word.
+/// Age of the latest heartbeat above which the leader is considered lost: four heartbeat
+/// intervals.
 const LEADER_AGE_MAX: Duration = Duration::from_millis(1_200);
-/// Longest wait for a leader to appear before a caller is refused. Refusing within it
-/// would turn callers away for the pause of a planned hand-over.
+/// Longest wait for a leader before a query is refused. A shorter wait would refuse
+/// queries during a planned leadership transfer.
 const LEADER_WAIT: Duration = Duration::from_millis(200);
-/// A question without an answer for this long is asked again, as its leader may be
-/// suspended. It is some thirty times a commit, and an election takes as long.
+/// Time after which an unanswered query is sent again, since the leader may be suspended.
+/// It is about thirty times the duration of a commit and as long as an election.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller may come back that found no leader, in milliseconds: about the time
-/// until another is elected.
+/// Retry delay, in milliseconds, given to callers when there is no leader: about the
+/// duration of an election.
 const NO_LEADER_RETRY_MS: u64 = 1_000;
-/// Pause between attempts.
+/// Pause between attempts to query the leader.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(30);
 
-/// What is known of the leader.
+/// Leader as known to an entry instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leader {
-    /// Its instance, if one is linked.
+    /// Instance id of the leader; absent if no linked instance is known to lead.
     pub instance: Option<InstanceId>,
-    /// Its term.
+    /// Latest term known to have a leader.
     pub term: u64,
-    /// When its word last came.
+    /// Time of the latest heartbeat.
     pub heard_at: Moment,
 }
 
-/// How a question went.
+/// Result of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// Answer.
+    /// Leader's answer, or a refusal if there was none.
     pub answer: Answer,
-    /// Attempts to reach the leader.
+    /// Number of times the query was sent to a leader.
     pub attempts: u32,
-    /// Term of the leader that was asked last.
+    /// Term of the latest known leader at the last attempt.
     pub term: u64,
-    /// Age of the leader's latest word then.
+    /// Time since the leader's latest heartbeat.
     pub leader_age: Duration,
 }
 
@@ -68,7 +69,7 @@
     calls: Calls,
 }
 
-/// A running entry instance.
+/// Handle to a running entry instance.
 #[derive(Clone, Debug)]
 pub struct Entry {
     shared: Arc<Mutex<Shared>>,
@@ -81,7 +82,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the peer address is taken.
+/// Fails if the peer address cannot be bound.
 pub async fn start<P: Port>(
     settings: Settings,
     port: Arc<P>,
@@ -94,7 +95,7 @@
         id,
         name: settings.name.clone(),
         zone: settings.zone.clone(),
-        // Without an address nobody dials an entry instance.
+        // Peers do not dial an instance without an address.
         address: String::new(),
         replica: id.0,
         durable: false,
@@ -132,23 +133,26 @@
 }
 
 impl Entry {
-    /// Adds peer addresses of control instances.
+    /// Adds peer addresses of control instances to connect to.
     pub fn learn(&self, addresses: &[String]) {
         self.mesh.learn(addresses);
     }
 
-    /// Returns what is known of the leader.
+    /// Returns the leader as known now.
     pub fn leader(&self) -> Leader {
         *self.leader.borrow()
     }
 
-    /// Returns whether callers' questions can be answered now, as far as known.
+    /// Returns whether a leader is known and its latest heartbeat is recent enough to send
+    /// queries to it.
     pub fn is_ready(&self) -> bool {
         is_fresh(&self.leader(), self.clock.now())
     }
 
-    /// Asks the leader until it answers or the deadline passes. Questions may be asked
-    /// more than once, so they must be such that this changes nothing.
+    /// Sends a query to the leader and retries until it answers or the deadline passes.
+    /// The query may be sent more than once, so it must be idempotent.
+    ///
+    /// Returns [`Answer::Unknown`] if an attempt was sent and its result is not known.
     pub async fn ask(&self, query: Query, deadline: Instant) -> Outcome {
         let mut attempts = 0;
         let mut unknown = false;
@@ -173,7 +177,7 @@
             let limit = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
             let answered = tokio::select! {
                 answered = timeout_at(limit, answer) => answered,
-                // The answer of a leader that has been replaced may never come.
+                // A replaced leader may never answer, so retry with the new one at once.
                 () = self.await_term_after(leader.term) => {
                     unknown = true;
                     continue;
@@ -210,7 +214,7 @@
 
     async fn await_term_after(&self, term: u64) {
         let mut seen = self.leader.clone();
-        // The sender lives as long as the process serves.
+        // The sender is dropped only when the instance stops; wait for the caller's time-out.
         if seen.wait_for(|leader| leader.term > term).await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -276,7 +280,8 @@
             sent_at: now.0,
             ..Ping::default()
         };
-        // On every link: each side may send on another one of two.
+        // Pings go out on every link: if both peers dialed, each side may use a different
+        // link for its messages, and a silent link is closed.
         for link in shared.links.values().flatten() {
             link.send(Body::Ping(ping.clone()));
         }
@@ -353,14 +358,14 @@
                         }
                     });
                 }
-                // Entry instances answer nothing else.
+                // Entry instances do not answer queries.
                 Ok(Remote::Query(_)) => {}
-                Err(err) => self.unreadable("a peer's question", &err),
+                Err(err) => self.unreadable("call from a peer", &err),
             },
             Body::Return(back) => {
                 let mut shared = self.shared.lock().expect("shared lock");
                 if let Err(err) = shared.calls.take(from, &back) {
-                    self.unreadable("a peer's answer", &err);
+                    self.unreadable("answer from a peer", &err);
                 }
             }
             _ => {}
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -1,8 +1,9 @@
-//! Structured log lines on standard output.
+//! Structured log on standard output, one JSON object a line.
 //!
-//! Each line is a JSON object. Lines go through a bounded queue to a thread of their
-//! own, which drops them when the reader is too slow, and each kind of line has a
-//! budget a second. What was left out is counted and told.
+//! A bounded queue and a writer thread keep a slow reader from blocking the process: when
+//! the queue is full, lines are dropped and counted. Each kind of line is also limited to a
+//! number of lines a second; the lines suppressed by that limit are counted, and the count
+//! is logged.
 
 use std::collections::HashMap;
 use std::mem::{Discriminant, discriminant};
@@ -15,188 +16,193 @@
 use crate::core::consensus::Doubt;
 use crate::core::plane::lead::Note;
 
-/// Lines of one kind that are written in a second. Eight kinds at this rate are some
-/// 2 % of an entry instance's processor.
+/// Largest number of lines of one kind that are written in a second. Eight kinds at this
+/// rate take about 2 % of an entry instance's processor time.
 pub const LINES_PER_SECOND: u32 = 120;
-/// Lines that wait for the reader.
+/// Capacity of the queue to the writer thread, in lines.
 const QUEUE_LINES: usize = 4_096;
 
-/// Lines that are not a leader's notes.
+/// Log lines of the process, apart from those of the leader (`Note`).
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Line {
     /// The process started.
     Started {
-        /// What it is for.
+        /// Role of the instance.
         role: &'static str,
         /// Availability zone.
         zone: String,
-        /// Version of the program.
+        /// Version of the executable.
         version: &'static str,
     },
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     Stopping {},
-    /// The process ends.
+    /// The process is about to exit.
     Stopped {},
     /// The settings were read again.
     Reloaded {
-        /// Whether anything in use changed.
+        /// Whether any setting in use changed.
         changed: bool,
     },
-    /// The settings could not be used; the former stay in force.
+    /// The new settings are invalid; the previous ones stay in force.
     ReloadRefused {
-        /// Why.
+        /// Reason.
         error: String,
     },
     /// A link to a peer is up.
     PeerUp {
-        /// Peer.
+        /// Name of the peer.
         peer: String,
-        /// Its availability zone.
+        /// Availability zone of the peer.
         zone: String,
     },
     /// The last link to a peer is down.
     PeerDown {
-        /// Peer.
+        /// Name of the peer.
         peer: String,
     },
-    /// A peer was refused.
+    /// The handshake with a peer failed.
     PeerRefused {
-        /// Why.
+        /// Reason.
         error: String,
     },
-    /// This instance leads.
+    /// This instance became the leader.
     Led {
-        /// Term.
+        /// Term in which it leads.
         term: u64,
-        /// Last applied entry.
+        /// Index of the last applied log entry.
         applied: u64,
     },
-    /// This instance no longer leads.
+    /// This instance stopped leading.
     LeadLost {
-        /// Term.
+        /// Term in which it led.
         term: u64,
     },
-    /// This instance asks for votes.
+    /// This instance became a candidate in an election.
     Stood {
-        /// Whether it only asks if it would win.
+        /// Whether this is a pre-vote, which tests whether the candidate could win.
         pre: bool,
-        /// Term that it wants to lead.
+        /// Term of the election.
         term: u64,
-        /// Last entry of its log.
+        /// Index of the last entry of its log.
         last_index: u64,
     },
     /// This instance was asked for its vote.
     VoteAsked {
-        /// Who asked.
+        /// Name of the candidate's instance, or its replica number if it is not linked.
         candidate: String,
-        /// Whether it only asked if it would win.
+        /// Whether this is a pre-vote, which tests whether the candidate could win.
         pre: bool,
-        /// Term that it wants to lead.
+        /// Term of the election.
         term: u64,
-        /// Why the vote was refused; absent if it was given.
+        /// Reason for refusing the vote; absent if it was granted.
         refused: Option<Doubt>,
     },
-    /// Another instance leads, as far as this one knows.
+    /// This instance learned of a new leader.
     LeaderSeen {
-        /// Its name.
+        /// Name of the leader's instance.
         leader: String,
-        /// Term.
+        /// Term of the leader.
         term: u64,
     },
-    /// No leader is known.
+    /// The leader's heartbeats stopped, or its links went down.
     LeaderGone {
-        /// Time since its latest word, in milliseconds.
+        /// Time since its latest heartbeat, in milliseconds.
         age_ms: u64,
     },
-    /// The voters changed.
+    /// The voters of the root group changed. After a restart, older changes that are
+    /// replayed from the log are reported again.
     Voters {
-        /// Entry of the log that names them; those before the last one at the start of
-        /// the process are read again from the log.
+        /// Index of the log entry with the change.
         index: u64,
-        /// Their names.
+        /// Names of the voters' instances.
         voters: Vec<String>,
     },
-    /// The disk takes no records.
+    /// Writing to the data folder failed.
     DiskRefused {
-        /// Why.
+        /// Reason.
         error: String,
     },
-    /// The disk takes records again.
+    /// A failed write to the data folder succeeded on a retry.
     DiskBack {},
-    /// The log was replaced by a snapshot.
+    /// The log is being compacted into a snapshot.
     Compacted {
-        /// Last entry in it.
+        /// Index of the last log entry in the snapshot.
         index: u64,
-        /// Its size in bytes.
+        /// Size of the state in the snapshot, in bytes.
         bytes: usize,
     },
-    /// The process was suspended.
+    /// The event loop was delayed, by a suspension of the process or by overload.
     Paused {
-        /// For how long, in milliseconds.
+        /// Time between two iterations of the loop, in milliseconds.
         ms: u64,
-        /// How much of it passed while the instance worked on its inputs, in
-        /// milliseconds: all of it if it has too much to do, or if it was stopped
-        /// meanwhile; little if it was stopped while it waited.
+        /// Part of that time spent on processing inputs, in milliseconds. It is nearly all
+        /// of it on overload or if the process was suspended while processing, and little
+        /// if the process was suspended while waiting for inputs.
         busy_ms: u64,
     },
     /// A caller's request was answered.
     Request {
-        /// Method and path.
+        /// HTTP method and path.
         request: String,
-        /// Status.
+        /// HTTP status of the response.
         status: u16,
-        /// Why, if it was not served.
+        /// Reason for not serving the request; absent if it was served.
         why: Option<String>,
-        /// Attempts to reach the leader.
+        /// Number of times the query was sent to a leader.
         attempts: u32,
-        /// Term of the leader, as far as known.
+        /// Term of the latest known leader.
         term: u64,
-        /// Time since the leader's latest word, in milliseconds.
+        /// Time since the leader's latest heartbeat, in milliseconds.
         leader_age_ms: u64,
-        /// Time taken, in milliseconds.
+        /// Time to answer, in milliseconds.
         took_ms: u64,
     },
-    /// Something that a peer or the disk holds could not be read.
+    /// Data from a peer or the disk could not be decoded.
     Unreadable {
-        /// What.
+        /// Kind of data.
         what: &'static str,
-        /// Why.
+        /// Reason.
         error: String,
     },
-    /// A worker or the permission service could not be reached; nothing was sent.
+    /// A request to a worker or the permission service was not sent, because no connection
+    /// was available.
     Unreached {
-        /// Address.
+        /// Address of the worker or service.
         address: String,
-        /// Why; also that all connections that may be open are in use.
+        /// Reason: a connection error, or that the limit of open connections is reached.
         error: String,
-        /// Connections open.
+        /// Number of open connections.
         open: usize,
     },
-    /// Lines that were left out.
+    /// Lines were suppressed because their kind exceeded its rate limit.
     LeftOut {
-        /// Kind of line.
+        /// Event name of the suppressed lines.
         kind: String,
-        /// How many.
+        /// Number of suppressed lines.
         count: u64,
     },
 }
 
-/// Kinds of lines, each with a budget of its own.
+/// Kind of a line; each kind has its own rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Kind {
     Line(Discriminant<Line>),
     Note(Discriminant<Note>),
 }
 
+/// Rate limit of one kind of line, in windows of one second.
 #[derive(Debug, Default)]
 struct Budget {
+    /// Current window, as a Unix time in seconds.
     second: u64,
+    /// Lines written in the window.
     written: u32,
+    /// Lines suppressed since the last line that was written.
     left_out: u64,
 }
 
-/// Where log lines go.
+/// Log of one instance; clones write to the same sink and share the rate limits.
 #[derive(Clone, Debug)]
 pub struct Journal {
     instance: Arc<str>,
@@ -206,8 +212,8 @@
 }
 
 impl Journal {
-    /// Makes a journal on `sink`. Lines that wait are written when the guard is
-    /// dropped.
+    /// Makes a journal that writes to `sink`, and the guard of its writer thread. Dropping
+    /// the guard writes the lines that are still queued.
     pub fn new(instance: &str, sink: impl std::io::Write + Send + 'static) -> (Self, WorkerGuard) {
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
@@ -223,17 +229,17 @@
         (journal, guard)
     }
 
-    /// Returns how many lines were dropped because the reader was too slow.
+    /// Returns the number of lines dropped because the queue was full.
     pub fn dropped(&self) -> usize {
         self.dropped.dropped_lines()
     }
 
-    /// Writes a line of the process.
+    /// Writes a line, subject to the rate limit of its kind.
     pub fn write(&self, line: &Line) {
         self.put(Kind::Line(discriminant(line)), line);
     }
 
-    /// Writes a leader's note.
+    /// Writes a line of the leader, subject to the rate limit of its kind.
     pub fn note(&self, note: &Note) {
         self.put(Kind::Note(discriminant(note)), note);
     }
@@ -255,7 +261,8 @@
         self.emit(at_ms, &text);
     }
 
-    // None if the budget of the second is spent; else what was left out before.
+    // Returns the number of lines suppressed since the last one of this kind, or `None` if
+    // the limit for this second is reached and the line must be suppressed.
     fn admit(&self, kind: Kind, second: u64) -> Option<u64> {
         let mut budgets = self.budgets.lock().expect("budgets lock");
         let budget = budgets.entry(kind).or_default();
@@ -271,7 +278,7 @@
         Some(std::mem::take(&mut budget.left_out))
     }
 
-    // Puts time and instance before the line's own fields.
+    // Queues a line with time and instance in front of its own fields.
     fn emit(&self, at_ms: u64, text: &str) {
         use std::io::Write;
         let fields = text.strip_prefix('{').unwrap_or(text);
@@ -279,12 +286,12 @@
             "{{\"at_ms\":{at_ms},\"instance\":\"{}\",{fields}\n",
             self.instance
         );
-        // A full queue drops the line and counts it.
+        // If the queue is full, the writer drops the line and counts it.
         let _ = self.writer.clone().write_all(line.as_bytes());
     }
 }
 
-// The tag of the enum, which comes first and names the variant.
+// Returns the event name of an encoded line. Serde writes the enum's tag as the first field.
 fn kind_of(text: &str) -> &str {
     text.split('"').nth(3).unwrap_or_default()
 }
--- a/src/cell/metrics.rs
+++ b/src/cell/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an instance of a cell with one task plane.
+//! Prometheus metrics of an instance of a cell with a single task plane.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,47 +11,47 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Label with what happened.
+/// Label that tells the outcomes of one operation apart.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct Outcome {
-    /// What happened.
+    /// Value of the label.
     pub outcome: String,
 }
 
-/// What an instance counts.
+/// Metrics of one instance; clones share their values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
-    /// Callers' requests by status.
+    /// Callers' requests by HTTP status.
     pub requests: Family<Outcome, Counter>,
-    /// Time to answer callers, in seconds.
+    /// Time to answer a caller's request, in seconds.
     pub request_seconds: Histogram,
     /// Orders to workers by outcome.
     pub orders: Family<Outcome, Counter>,
-    /// Time for workers to answer starts and stops, in seconds.
+    /// Time for workers to answer start and stop orders, in seconds.
     pub order_seconds: Histogram,
-    /// Ends of runs by how.
+    /// Ended runs by the way in which they ended.
     pub ends: Family<Outcome, Counter>,
-    /// Questions to the permission service by outcome.
+    /// Permission requests by outcome.
     pub questions: Family<Outcome, Counter>,
-    /// Time from proposing an entry to applying it, in seconds.
+    /// Time from proposing a log entry to applying it, in seconds.
     pub commit_seconds: Histogram,
-    /// Time from accepting a job to placing a run of it, in seconds.
+    /// Time from accepting a job to placing one of its runs, in seconds.
     pub wait_seconds: Histogram,
-    /// Whether this instance leads.
+    /// 1 if this instance leads, else 0.
     pub leads: Gauge,
     /// Version of the configuration in force.
     pub configuration: Gauge,
     /// Jobs that have not ended.
     pub open_jobs: Gauge,
-    /// Workers that may get work.
+    /// Workers whose incarnation has not ended, which may be given work.
     pub workers: Gauge,
     /// Log lines dropped because the reader was too slow.
     pub lines_dropped: Gauge,
 }
 
 fn seconds() -> Histogram {
-    // One millisecond to some half a minute.
+    // Upper bounds from 1 ms to about 16 s.
     Histogram::new(exponential_buckets(0.001, 2.0, 15))
 }
 
@@ -98,18 +98,18 @@
 }
 
 impl Metrics {
-    /// Counts one of a family.
+    /// Increments the counter for `outcome`.
     pub fn count(family: &Family<Outcome, Counter>, outcome: impl Into<String>) {
         let outcome = outcome.into();
         family.get_or_create(&Outcome { outcome }).inc();
     }
 
-    /// Records a time.
+    /// Records a duration.
     pub fn observe(histogram: &Histogram, took: Duration) {
         histogram.observe(took.as_secs_f64());
     }
 
-    /// Returns everything in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().expect("registry lock");
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -1,5 +1,5 @@
-//! A cell with one task plane: control instances agree on the state and one of them
-//! leads, entry instances pass what callers want on to it.
+//! A cell with a single task plane. Control instances replicate the state and elect a
+//! leader; entry instances forward callers' queries to it.
 
 mod calls;
 mod control;
@@ -24,76 +24,79 @@
 use crate::core::plane::lead::{Answer, Bounds, Order, Permission, Query, Question, Reply};
 use crate::net::Mesh;
 
-/// Interval of pings on links, a fifth of the silence after which a link is closed.
+/// Interval of pings on a link: a fifth of the time without traffic after which the link
+/// is closed.
 const PING_EVERY: Duration = Duration::from_millis(500);
-/// Interval at which a leader tells all instances that its lease holds.
+/// Interval at which a leader that holds its lease sends heartbeats to all instances.
 const LEADING_EVERY: Duration = Duration::from_millis(300);
-/// Inputs that wait for the control loop.
+/// Capacity of each queue of inputs to an instance's event loop.
 const INBOX_MAX: usize = 16_384;
 
-/// Settings of an instance of such a cell.
+/// Settings of an instance of a cell with a single task plane.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name, unique in the cell.
+    /// Name of the instance, unique in the cell.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Address to listen at for peers.
+    /// Address on which the instance listens for peers.
     pub peer: SocketAddr,
-    /// Address under which peers reach it; another one behind a proxy.
+    /// Address that the instance advertises to its peers. It differs from the listening
+    /// address behind a proxy.
     pub announced: SocketAddr,
-    /// Peer addresses of some control instances.
+    /// Peer addresses of control instances to connect to first.
     pub seeds: Vec<String>,
     /// Secret that all instances of the cell share.
     pub secret: Vec<u8>,
-    /// Data folder; control instances have one.
+    /// Data folder; required for a control instance.
     pub data: Option<PathBuf>,
-    /// Whether the cell starts for the first time and the seeds found it.
+    /// Whether the cell starts for the first time, so that the seeds bootstrap its root
+    /// group.
     pub founding: bool,
-    /// Voters that the root group should have.
+    /// Target number of voters in the root group.
     pub voters: usize,
-    /// A voter that was silent for longer is replaced.
+    /// Time without contact after which a voter is replaced.
     pub replace_after: Duration,
-    /// What the installation allows.
+    /// Limits that the installation sets for the task plane.
     pub bounds: Bounds,
 }
 
-/// How an instance reaches workers and the permission service.
+/// Client interface to the workers and the permission service.
 pub trait Port: Send + Sync + 'static {
-    /// Sends an order to a worker.
+    /// Sends an order to a worker and returns its reply.
     fn order(&self, order: Order) -> impl Future<Output = Reply> + Send;
-    /// Asks the permission service.
+    /// Sends a permission request to the permission service and returns its response.
     fn ask(&self, question: Question) -> impl Future<Output = Permission> + Send;
 }
 
-/// What instances ask each other.
+/// Call from one instance to another, encoded with postcard.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Remote {
-    /// A question to the leader.
+    /// Query to the leader.
     Query(Query),
-    /// A question to the permission service, to be asked by the receiver.
+    /// Permission request that the receiver is to send to the permission service.
     Permission(Question),
 }
 
-/// What instances answer each other.
+/// Answer to a call, encoded with postcard.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum RemoteAnswer {
-    /// Of the leader.
+    /// Leader's answer to a query.
     Query(Answer),
-    /// Of the permission service.
+    /// Permission service's response.
     Permission(Permission),
 }
 
-/// A question of this process and where its answer goes.
+/// Query from this process with the channel for its answer.
 #[derive(Debug)]
 pub struct Asked {
-    /// Question.
+    /// Query to the leader.
     pub query: Query,
-    /// Receives the answer.
+    /// Channel that receives the answer.
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// The way into a control instance's loop.
+/// Handle to the event loop of a running control instance.
 #[derive(Clone, Debug)]
 pub struct Handle {
     asked: mpsc::Sender<Asked>,
@@ -102,18 +105,19 @@
 }
 
 impl Handle {
-    /// Adds peer addresses of control instances.
+    /// Adds peer addresses of control instances to connect to.
     pub fn learn(&self, addresses: &[String]) {
         self.mesh.learn(addresses);
     }
 
-    /// Hands leadership over, if this instance leads, before a planned stop.
+    /// Transfers leadership to another instance if this one leads. Called before a planned
+    /// stop.
     pub fn resign(&self) {
         self.resign.notify_one();
     }
 
-    /// Asks the leader, through this instance. Without an answer in time, what was
-    /// asked may have been done.
+    /// Forwards a query to the leader. Returns [`Answer::Unknown`] if no answer arrives
+    /// within `limit`, in which case the leader may have executed the query.
     pub async fn ask(&self, query: Query, limit: Duration) -> Answer {
         let (reply, answer) = oneshot::channel();
         if self.asked.send(Asked { query, reply }).await.is_err() {
@@ -126,5 +130,5 @@
     }
 }
 
-/// Peers by the run of their process.
+/// Open links by the peer's instance id, which is new at each start of its process.
 type Links = BTreeMap<crate::core::registry::InstanceId, Vec<crate::net::Link>>;
--- a/src/cell/storage.rs
+++ b/src/cell/storage.rs
@@ -1,5 +1,5 @@
-//! The disk's own thread, so that a slow disk holds up nothing but its instance's
-//! word for what is stored.
+//! Disk thread. Writes run outside the event loop so that a slow disk delays only the
+//! messages and acknowledgements that depend on stored data.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 use crate::store::Wal;
 use crate::wire::Entry;
 
-/// Pause before a disk that refused is tried again.
+/// Pause before a failed write is retried.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Work for the disk.
+/// Request to the disk thread.
 #[derive(Debug)]
 pub enum Job {
-    /// Store what a replica has to store. `last` is the index and term of the last
-    /// entry of its log then.
+    /// Write the replica's pending changes. `last` is the index and term of the last entry
+    /// of its log at the time of the request.
     Store { ready: Box<Ready>, last: (u64, u64) },
-    /// Store a snapshot of the replica's own state and the log after it.
+    /// Replace the log by a snapshot of this replica's state and the entries after it.
     Compact(Box<Snapshot>, Vec<Entry>),
 }
 
-/// What the disk has done.
+/// Completed request of the disk thread.
 #[derive(Debug)]
 pub enum Done {
-    /// All is stored.
+    /// The changes are on disk; the fields are those of the request.
     Stored { ready: Box<Ready>, last: (u64, u64) },
-    /// The snapshot is stored.
+    /// The compaction has ended, with or without success.
     Compacted,
 }
 
-/// Runs until the control loop is gone.
+/// Serves requests until the event loop has ended.
 pub fn run(
     mut wal: Wal,
     jobs: &std::sync::mpsc::Receiver<Job>,
@@ -47,7 +47,7 @@
             }
             Job::Compact(snapshot, entries) => {
                 if let Err(err) = wal.compact(&snapshot, &entries) {
-                    // The log stays longer; the next snapshot tries again.
+                    // Not fatal: the log stays as it is until the next compaction.
                     journal.write(&Line::DiskRefused {
                         error: err.to_string(),
                     });
@@ -61,7 +61,8 @@
     }
 }
 
-// Nothing may be answered before it is stored, so there is nothing to do but wait.
+// Retries a write until it succeeds, since no message may be sent before the data that
+// it depends on is stored. Logs the first failure and the recovery only.
 fn retry(journal: &Journal, mut store: impl FnMut() -> std::io::Result<()>) {
     let mut refused = false;
     while let Err(err) = store() {
