--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -1,4 +1,4 @@
-//! Proof of the cell's secret at the start of a link.
+//! Mutual authentication with the cell secret when a link is opened.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 
 use crate::wire::{Challenge, FRAME_MAX, Hello, Proof, VERSION};
 
-/// Longest time for the whole handshake.
+/// Time-out for the whole handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest frame before the other side has proved itself, in bytes.
+/// Largest frame accepted before the peer is authenticated, in bytes.
 const HANDSHAKE_FRAME_MAX: usize = 1_024;
 /// Length of a nonce, in bytes.
 const NONCE_BYTES: usize = 32;
 
-/// Which side opened the connection. Part of the proof, so that none can be
-/// sent back to its author.
+/// Side of a connection. It is part of the MAC, so that a proof cannot be reflected to its
+/// sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The side that connected.
+    /// The side that opened the connection.
     Dialer,
-    /// The side that accepted.
+    /// The side that accepted the connection.
     Acceptor,
 }
 
@@ -46,38 +46,41 @@
     }
 }
 
-/// Why a link was refused.
+/// Error for a link that could not be established.
 #[derive(Debug, Snafu)]
 pub enum Refusal {
     /// The connection failed.
     #[snafu(display("connection failed: {source}"))]
     Io {
-        /// Cause.
+        /// I/O error of the connection.
         source: std::io::Error,
     },
-    /// The other side closed the connection.
-    #[snafu(display("closed during the handshake"))]
+    /// The peer closed the connection, or connecting or the handshake timed out.
+    #[snafu(display("connection closed or timed out during the handshake"))]
     Closed,
-    /// A frame was malformed.
-    #[snafu(display("malformed handshake"))]
+    /// A handshake message could not be decoded, or the address to dial is not a socket
+    /// address.
+    #[snafu(display("malformed handshake message or peer address"))]
     Malformed,
-    /// The other side speaks another version.
-    #[snafu(display("protocol version {theirs}, this is {VERSION}"))]
+    /// The peer uses another protocol version.
+    #[snafu(display("protocol version mismatch: peer has {theirs}, this instance has {VERSION}"))]
     Version {
-        /// Version of the other side.
+        /// Protocol version of the peer.
         theirs: u32,
     },
-    /// The other side does not know the cell's secret.
-    #[snafu(display("wrong cell secret"))]
+    /// The peer's proof does not match the cell secret of this instance.
+    #[snafu(display("cell secret of the peer does not match"))]
     Secret,
 }
 
-/// Exchanges proofs; yields the other side's introduction and the framed stream.
+/// Performs the handshake: both sides exchange a nonce and then a proof, an HMAC under the
+/// cell secret over both nonces and the sender's `Hello`. Returns the peer's `Hello` and the
+/// framed stream.
 ///
 /// # Errors
 ///
-/// Fails if the connection does, if the versions differ or if the other side does
-/// not know the secret.
+/// Fails on an I/O error or a malformed message, if the peer closes the connection, if the
+/// protocol versions differ or if the peer's proof does not match the secret.
 pub async fn shake<S: AsyncRead + AsyncWrite + Unpin>(
     stream: S,
     side: Side,
@@ -123,7 +126,7 @@
     reader: &[u8],
     proof: &Proof,
 ) -> Result<(), Refusal> {
-    // The library compares in constant time.
+    // `verify_slice` compares in constant time.
     mac(secret, side, author, reader, &proof.hello)
         .verify_slice(&proof.mac)
         .map_err(|_| Refusal::Secret)
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,4 +1,4 @@
-//! One link: frames both ways, closed when silent.
+//! A link: sends and receives frames on one connection and closes it when the peer is silent.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,46 +16,46 @@
 use crate::core::registry::InstanceId;
 use crate::wire::{Body, Frame};
 
-/// Frames that wait to be written to one peer. Beyond it the link is closed.
+/// Capacity of a link's queue of outgoing frames. When the queue is full, the link is closed.
 const OUTBOX_MAX: usize = 8_192;
 
-/// What the links tell the control thread.
+/// Event of the links, sent to the instance's control loop.
 #[derive(Debug)]
 pub enum Notice {
-    /// A link is up.
+    /// A link to the peer was established.
     Up(Peer, Link),
-    /// A link is down.
+    /// The link with this number to the peer was closed.
     Down(InstanceId, u64),
-    /// A message came.
+    /// A message arrived from the peer.
     Message(InstanceId, Body),
-    /// A connection was refused.
+    /// A connection was refused for the given reason.
     Refused(String),
 }
 
-/// The sending end of a link.
+/// Sending end of a link.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// Number of the link, unique in the process.
+    /// Number of the link, unique among the links of this instance.
     pub number: u64,
     outbox: mpsc::Sender<Body>,
     token: CancellationToken,
 }
 
-/// Bytes and messages that went over all links of an instance.
+/// Traffic over all links of an instance.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Messages sent.
     pub sent: AtomicU64,
-    /// Bytes sent, with the length of each frame.
+    /// Bytes sent, including the length prefix of each frame.
     pub sent_bytes: AtomicU64,
     /// Messages received.
     pub received: AtomicU64,
-    /// Bytes received, with the length of each frame.
+    /// Bytes received, including the length prefix of each frame.
     pub received_bytes: AtomicU64,
 }
 
 impl Link {
-    /// Makes a link and the receiving end of its outbox.
+    /// Makes a link and the receiver of its outgoing messages.
     pub fn new(number: u64, token: CancellationToken) -> (Self, mpsc::Receiver<Body>) {
         let (outbox, inbox) = mpsc::channel(OUTBOX_MAX);
         let link = Self {
@@ -66,7 +66,8 @@
         (link, inbox)
     }
 
-    /// Queues a message. A link whose peer does not keep up is closed.
+    /// Queues a message to the peer. Closes the link if the queue is full, as when the peer
+    /// reads too slowly.
     pub fn send(&self, body: Body) {
         if self.outbox.try_send(body).is_err() {
             self.token.cancel();
@@ -79,7 +80,8 @@
     }
 }
 
-/// Runs a link until it breaks, falls silent or is closed.
+/// Sends and receives frames until the connection fails, nothing is received for
+/// [`PEER_SILENCE_MAX`], one write takes longer than that, or the link is closed.
 pub async fn run<S: AsyncRead + AsyncWrite + Unpin + Send + 'static>(
     framed: Framed<S, LengthDelimitedCodec>,
     peer: InstanceId,
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -1,4 +1,4 @@
-//! Links to all known instances of the cell.
+//! Opens and accepts links to all known instances of the cell.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -18,32 +18,36 @@
 use crate::core::registry::InstanceId;
 use crate::wire::Hello;
 
-/// Interval of attempts to reach instances without a link.
+/// Interval between attempts to connect to known addresses without a link; also the pause
+/// after a failed accept.
 const DIAL_EVERY: Duration = Duration::from_millis(400);
-/// Longest time for a connection to come up.
+/// Time-out for opening a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Handshakes under way at once.
+/// Largest number of concurrent handshakes on accepted connections; further connections are
+/// closed at once.
 const HANDSHAKES_MAX: usize = 64;
-/// Addresses that are remembered.
+/// Largest number of peer addresses to keep.
 const ADDRESSES_MAX: usize = 256;
 
-/// The links of one instance.
+/// Links of one instance to its peers.
 #[derive(Debug)]
 pub struct Mesh {
     me: Identity,
     secret: Vec<u8>,
     founded: AtomicBool,
+    /// Known peer addresses.
     addresses: Mutex<HashSet<String>>,
+    /// Addresses with a link, each with the number of its latest link.
     linked: Mutex<HashMap<String, u64>>,
     notices: mpsc::Sender<Notice>,
     next_link: AtomicU64,
     token: CancellationToken,
-    /// What went over the links.
+    /// Traffic over all links.
     pub counters: Arc<Counters>,
 }
 
 impl Mesh {
-    /// Makes the mesh of an instance; nothing is opened yet.
+    /// Makes the mesh of an instance. Links are opened and accepted once it runs.
     pub fn new(
         me: Identity,
         secret: Vec<u8>,
@@ -64,23 +68,24 @@
         })
     }
 
-    /// Records that this instance has joined a founded group.
+    /// Records that this instance belongs to a bootstrapped group, which later handshakes
+    /// tell the peers.
     pub fn set_founded(&self) {
         self.founded.store(true, Ordering::Relaxed);
     }
 
-    /// Adds addresses that peers told of.
+    /// Adds peer addresses to connect to.
     pub fn learn(&self, addresses: &[String]) {
         let mut known = self.addresses.lock().expect("addresses lock");
         for address in addresses {
-            // Instances that only dial have no address.
+            // Instances that accept no links have an empty address.
             if known.len() < ADDRESSES_MAX && !address.is_empty() {
                 known.insert(address.clone());
             }
         }
     }
 
-    /// Accepts and opens links until the token is cancelled.
+    /// Opens and accepts links until the token is cancelled.
     pub async fn run(self: Arc<Self>, listener: TcpListener) {
         let accept = Arc::clone(&self).accept(listener);
         let dial = Arc::clone(&self).dial();
@@ -208,6 +213,7 @@
     }
 }
 
+/// Peer's introduction and the stream, after a successful handshake.
 type Shaken = (
     Hello,
     tokio_util::codec::Framed<TcpStream, tokio_util::codec::LengthDelimitedCodec>,
@@ -227,6 +233,7 @@
 
 fn tune(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    // Unacknowledged data closes a path that silently drops packets.
+    // Fails the connection if sent data stays unacknowledged, as on a path that silently
+    // drops packets.
     SockRef::from(stream).set_tcp_user_timeout(Some(PEER_SILENCE_MAX))
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Links between the system's processes.
+//! Authenticated links between the instances of a cell.
 
 mod handshake;
 mod link;
