--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -1,7 +1,8 @@
-//! Whole control states of several instances under seeded schedules of silent and
-//! one-way cuts, deaths, pauses, restarts and skewed clocks.
+//! Runs the control state of five instances in a simulated cell, under seeded schedules of
+//! network partitions (some of them one-way), crashes, pauses, restarts and clock skew.
 //!
-//! A longer run: `SCHEDULES=5000 cargo test --release --test cell`.
+//! `SCHEDULES` sets the number of schedules, for example
+//! `SCHEDULES=5000 cargo test --release --test cell`.
 
 #[path = "support/cell.rs"]
 mod simulation;
@@ -14,6 +15,8 @@
 use plantaincross::wire::Body;
 use simulation::{CALM, Cell, Disk, LENGTH, START, TICK};
 
+/// Runs one schedule: a phase without faults, in which requests must be answered, two
+/// phases with faults, between which a key is withdrawn, and a recovery.
 fn schedule(seed: u64) -> Cell {
     let mut cell = Cell::new(seed);
     cell.prepare();
@@ -21,7 +24,7 @@
     let calm = cell.completed;
     assert!(
         calm > 100,
-        "seed {seed}: {calm} requests in calm\n{}",
+        "seed {seed}: {calm} requests answered without faults\n{}",
         cell.describe()
     );
     let middle = cell.time + LENGTH / 2;
@@ -32,6 +35,7 @@
     cell
 }
 
+/// Runs a quarter of the schedules, with seeds from `from` on.
 fn schedules(from: u64) {
     let total: u64 = std::env::var("SCHEDULES")
         .ok()
@@ -55,7 +59,8 @@
     schedules_last_quarter: 3_000_000;
 }
 
-/// Cuts zone b off, silently, with a key at home there and one without a home.
+/// Makes a cell in which zone b is partitioned from the rest, without its links being
+/// closed. One key has zone b as its home zone, another one has no home zone.
 fn cut_off_zone() -> Cell {
     let mut cell = Cell::new(77);
     cell.prepare();
@@ -83,6 +88,8 @@
 }
 
 impl Cell {
+    /// Returns whether instance `at` may accept keys without a home zone and keys of its
+    /// own zone, by the last confirmations of the root group and of its zone.
     fn vouched(&self, at: usize) -> (bool, bool) {
         let host = &self.hosts[at];
         let control = host.control.as_ref().expect("runs");
@@ -93,6 +100,7 @@
         )
     }
 
+    /// Returns whether instance `at` has key `id` as withdrawn.
     fn withdrawn_at(&self, at: usize, id: &str) -> bool {
         let control = self.hosts[at].control.as_ref().expect("runs");
         control
@@ -110,7 +118,7 @@
     cell.run_until(cell.time + 60_000_000, false);
     for at in 0..5 {
         let home = at % 2 == 1;
-        assert!(cell.started_by[&at] > 0, "i{at} starts nothing");
+        assert!(cell.started_by[&at] > 0, "i{at} starts no requests");
         assert_eq!(cell.vouched(at), (!home, true), "i{at}");
     }
 }
@@ -148,7 +156,8 @@
     let mut cell = cut_off_zone();
     cell.run_until(cell.time + 5_000_000, false);
     let version = cell.hosts[0].version;
-    // An hour away: its own timers go on, but nothing passes.
+    // Time jumps by an hour and messages in flight are lost. Zone b runs again by then, so
+    // its timers act, but its partition is healed only later.
     let hour = 3_600_000_000;
     for at in [1, 3] {
         cell.hosts[at].paused_until = cell.time + hour - 10_000_000;
@@ -168,13 +177,15 @@
 }
 
 impl Cell {
+    /// Returns the names of the voters as known to instance `at`.
     fn voters(&self, at: usize) -> Vec<String> {
         let control = self.hosts[at].control.as_ref().expect("runs");
         let voters = control.replica().voters().iter();
         voters.map(|v| v.name.clone()).collect()
     }
 
-    /// Pushes a change and requires that it is in force at the instances that run.
+    /// Pushes a configuration change through instance `at` and asserts that it is in force
+    /// at all running instances.
     fn push_limit(&mut self, at: usize, limit: u64) {
         let control = self.hosts[at].control.as_ref().expect("runs");
         let (version, base) = (
@@ -193,6 +204,7 @@
         }
     }
 
+    /// Crashes instance `at` for good.
     fn lose(&mut self, at: usize) {
         self.stays_down.insert(at);
         self.kill(at);
@@ -209,7 +221,7 @@
     cell.run_until(cell.time + 10_000_000, false);
     assert_eq!(cell.voters(0), ["i0", "i1", "i3"]);
     cell.push_limit(0, 5);
-    // The second loss comes right after the repair.
+    // The second voter is lost right after the first one was replaced.
     cell.lose(1);
     cell.run_until(cell.time + 4_000_000, false);
     cell.push_limit(0, 6);
@@ -232,7 +244,7 @@
     let control = cell.hosts[2].control.as_ref().expect("runs");
     assert!(
         !control.replica().is_voter(),
-        "it must not vote with a lost memory"
+        "a replica that lost its stored vote must not vote"
     );
     assert_eq!(cell.voters(0), before);
     cell.run_until(cell.time + 10_000_000, false);
@@ -267,7 +279,7 @@
         .collect();
     assert_eq!(won.iter().filter(|won| **won).count(), 2, "{won:?}");
     let winner = won.iter().position(|won| *won).expect("one");
-    assert!(won[winner ^ 1], "the same push gets the same answer");
+    assert!(won[winner ^ 1], "a resent push gets the same answer");
     assert!(cell.hosts.iter().all(|h| h.version == 2));
 }
 
@@ -280,7 +292,7 @@
 
 #[test]
 fn body_of_a_ping_is_small() {
-    // Kept small, since every instance sends two a second to every other.
+    // Every instance sends two pings a second to every other one.
     let ping = plantaincross::wire::Ping {
         sent_at: u64::MAX >> 8,
         echo: u64::MAX >> 8,
@@ -340,7 +352,7 @@
 }
 
 impl Cell {
-    /// Returns who leads zone a.
+    /// Returns the index of the instance that leads zone a.
     fn zone_leader(&self) -> Option<usize> {
         self.hosts.iter().position(|host| {
             let allocator = host.control.as_ref().and_then(|c| c.allocator());
@@ -348,7 +360,7 @@
         })
     }
 
-    /// Delivers the next message that is due, if there is one.
+    /// Delivers the next message that is due. Returns whether there was one.
     fn deliver_next(&mut self) -> bool {
         let due = self.network.first_key_value();
         if due.is_none_or(|(&(at, _), _)| at > self.time) {
@@ -359,8 +371,8 @@
         true
     }
 
-    /// Reports `ended` after each message and each instance's tick until a leader of
-    /// zone a takes it.
+    /// Sends a worker's poll that reports `ended` to the leader of zone a, after each
+    /// message and each tick of an instance, until a leader accepts it.
     fn report_until_taken(&mut self, ended: &[EndReport]) {
         let end = self.time + LENGTH;
         let mut number = 1;
@@ -381,12 +393,15 @@
                 return;
             }
         }
-        panic!("no leader takes the report\n{}", self.describe());
+        panic!(
+            "no leader of zone a accepted the report in time\n{}",
+            self.describe()
+        );
     }
 }
 
-/// A worker reports an end to a leader that took over just before, and has not looked
-/// at the jobs since.
+/// A worker may report the end of a task to a leader that has just taken over and has not
+/// processed the jobs yet. The report must not be dropped.
 #[test]
 fn end_reported_at_once_after_a_takeover_is_not_forgotten() {
     let mut cell = Cell::new(81);
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Log lines: bounded, counted, never blocking.
+//! Tests of the log: format of a line, rate limit and behaviour with a stalled reader.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
     }
 }
 
-/// A reader that never reads.
+/// Sink whose writes block, as with a reader that has stalled.
 struct Full;
 
 impl Write for Full {
@@ -76,8 +76,12 @@
             _ => shown += 1,
         }
     }
-    assert_eq!(shown + left_out, sent + 1, "every line is shown or counted");
-    // The run may cross a second.
+    assert_eq!(
+        shown + left_out,
+        sent + 1,
+        "every line is either written or counted as suppressed"
+    );
+    // The lines may spread over up to three windows of one second.
     assert!(shown <= 3 * u64::from(LINES_PER_SECOND));
 }
 
@@ -89,6 +93,6 @@
         journal.write(&peer(n));
     }
     assert!(began.elapsed() < Duration::from_secs(10));
-    // Dropping the guard would wait for the reader.
+    // Dropping the guard would block on the stalled sink.
     std::mem::forget(guard);
 }
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -1,5 +1,5 @@
-//! Whole control states of several instances on a simulated network with silent and
-//! one-way cuts, deaths, pauses, restarts and skewed clocks.
+//! Simulated cell: the control state of five instances on a network with partitions (some
+//! of them one-way), crashes, pauses, restarts and clock skew. Times are in microseconds.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,17 +16,25 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Interval of the instances' ticks.
 pub const TICK: u64 = 25_000;
+/// Time at which the simulation starts.
 pub const START: u64 = 10_000_000;
+/// Time after the start until which a schedule injects no faults.
 pub const CALM: u64 = 12_000_000;
+/// Duration of the faults in a schedule.
 pub const LENGTH: u64 = 30_000_000;
+/// Run limit of the service in the configuration.
 pub const RUN_LIMIT: u64 = 2_000_000;
+/// Freshness bound for keys in the configuration.
 pub const FRESHNESS: u64 = 1_500_000;
 pub const ZONES: [&str; 2] = ["a", "b"];
+/// Slots of each upstream.
 pub const SLOTS: u32 = 4;
+/// Limit of each team, in units.
 pub const LIMIT: u64 = 7;
 
-/// A request that an upstream runs, whatever became of its sender.
+/// Request that runs on an upstream. It runs on if its sender crashes.
 pub struct Running {
     pub until: u64,
     pub sender: InstanceId,
@@ -36,11 +44,13 @@
     pub team: String,
 }
 
+/// Stored state of an instance, which survives a crash.
 #[derive(Default)]
 pub struct Disk {
     pub stored: Stored,
 }
 
+/// Simulated instance.
 pub struct Host {
     pub name: String,
     pub zone: String,
@@ -50,14 +60,18 @@
     pub control: Option<Control>,
     pub gate: Arc<Mutex<Gate>>,
     pub disk: Disk,
+    /// Clock drift in microseconds a millisecond.
     pub skew: i64,
+    /// Offset of the clock.
     pub offset: u64,
     pub paused_until: u64,
+    /// Latest configuration version seen at the instance.
     pub version: u64,
     pub was_leading: bool,
 }
 
 impl Host {
+    /// Returns the instance's clock at the simulated time.
     pub fn clock(&self, time: u64) -> Moment {
         let drift = time as i64 / 1_000 * self.skew;
         Moment((time as i64 + drift) as u64 + self.offset)
@@ -68,24 +82,34 @@
     }
 }
 
+/// Simulated cell. Instances are identified by their index in it.
 pub struct Cell {
     pub seed: u64,
     pub rng: ChaCha8Rng,
     pub time: u64,
     pub hosts: Vec<Host>,
+    /// Messages in flight by time of arrival and sequence number: index of the sending
+    /// instance, its id, index of the receiver and the message.
     pub network: BTreeMap<(u64, u64), (usize, InstanceId, usize, Input)>,
+    /// Latest arrival on each link, which keeps messages in order.
     pub link_busy: BTreeMap<(usize, usize), u64>,
     pub sent: u64,
+    /// Pairs of sender and receiver between which messages are lost.
     pub cut: BTreeSet<(usize, usize)>,
     pub running: Vec<Running>,
     pub next_call: u64,
+    /// Upstream by the call of its heartbeat that awaits an answer.
     pub beats: BTreeMap<u64, usize>,
     pub replies: BTreeMap<u64, Answer>,
+    /// Instances that are not restarted.
     pub stays_down: BTreeSet<usize>,
+    /// Latest answer to the heartbeats of each upstream.
     pub seen: BTreeMap<usize, Seen>,
+    /// Time at which the withdrawal of key `k` was confirmed.
     pub withdrawn: Option<u64>,
     pub withdraw_call: Option<u64>,
     pub completed: u64,
+    /// Number of requests started by each instance.
     pub started_by: BTreeMap<usize, u64>,
 }
 
@@ -135,6 +159,7 @@
         cell
     }
 
+    /// Starts an instance from its disk, under a new instance id.
     pub fn start(&mut self, at: usize) {
         let id = InstanceId(self.rng.random::<u64>().max(1));
         let seed = self.rng.random::<u64>() >> 8;
@@ -158,10 +183,11 @@
         host.control = Some(Control::new(identity, gate, stored, now, seed));
     }
 
+    /// Crashes an instance.
     pub fn kill(&mut self, at: usize) {
         let id = self.hosts[at].id;
         self.hosts[at].control = None;
-        // Its sockets are reset, where the path is open.
+        // Peers that it can reach see their connections reset.
         for other in 0..self.hosts.len() {
             if other != at && !self.cut.contains(&(at, other)) {
                 self.post(at, id, other, Input::PeerDown(id));
@@ -169,6 +195,7 @@
         }
     }
 
+    /// Sends a message with a random delay, in order with earlier ones on the link.
     pub fn post(&mut self, from: usize, sender: InstanceId, to: usize, input: Input) {
         let delay = if self.rng.random_ratio(1, 50) {
             self.rng.random_range(1_000..300_000)
@@ -182,6 +209,7 @@
             .insert((*busy, self.sent), (from, sender, to, input));
     }
 
+    /// Passes an input to an instance and processes its output.
     pub fn step(&mut self, at: usize, input: Input) {
         let now = self.hosts[at].clock(self.time);
         let Some(control) = &mut self.hosts[at].control else {
@@ -192,6 +220,7 @@
         self.settle(at);
     }
 
+    /// Stores and acknowledges the replica's output until there is none.
     pub fn settle(&mut self, at: usize) {
         loop {
             let now = self.hosts[at].clock(self.time);
@@ -272,7 +301,7 @@
         call
     }
 
-    // Starts what the gate admits, as the traffic threads do.
+    // Sends the requests that the gate dispatches, as the traffic threads do.
     pub fn pump(&mut self, at: usize) {
         if !self.hosts[at].runs(self.time) {
             return;
@@ -341,6 +370,8 @@
         }
     }
 
+    /// Ends requests whose time has come and releases them at the gate of their sender,
+    /// unless it crashed.
     pub fn end_requests(&mut self) {
         let time = self.time;
         let (done, running): (Vec<Running>, Vec<Running>) = std::mem::take(&mut self.running)
@@ -361,6 +392,7 @@
         }
     }
 
+    /// Sends an upstream's heartbeat to a random instance.
     pub fn announce(&mut self, upstream: usize) {
         let at = self.rng.random_range(0..self.hosts.len());
         if !self.hosts[at].runs(self.time) {
@@ -390,6 +422,7 @@
         self.ask(at, Target::Zone(zone), Query::Announce(beat));
     }
 
+    /// Opens links between running instances that are not partitioned from each other.
     pub fn link_up(&mut self) {
         for a in 0..self.hosts.len() {
             for b in 0..self.hosts.len() {
@@ -409,6 +442,7 @@
         }
     }
 
+    /// Runs the simulation up to `end`, with random faults if `disturbed`.
     pub fn run_until(&mut self, end: u64, disturbed: bool) {
         let mut next_tick = self.time;
         let mut ticks = 0u64;
@@ -455,6 +489,7 @@
         }
     }
 
+    /// Delivers a message, or delays it while its receiver is paused.
     pub fn deliver(&mut self, sender: InstanceId, to: usize, input: Input) {
         if self.hosts[to].paused_until > self.time {
             self.sent += 1;
@@ -466,6 +501,7 @@
         self.step(to, input);
     }
 
+    /// Injects or heals a random fault, with a probability of about 2 % a tick.
     pub fn disturb(&mut self) {
         let count = self.hosts.len();
         match self.rng.random_range(0..400) {
@@ -484,7 +520,8 @@
         }
     }
 
-    // One instance, one zone or any two sides; silent, and at times one way.
+    // Partitions one instance, one zone or a random set of instances from the rest, at times
+    // in one direction only. Links are not closed.
     pub fn cut_off(&mut self) {
         let count = self.hosts.len();
         let one = self.rng.random_range(0..count);
@@ -511,6 +548,7 @@
         self.check_key();
     }
 
+    /// Asserts that no upstream exceeds its slots and no team its limit.
     pub fn check_running(&self) {
         let seed = self.seed;
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
@@ -522,7 +560,7 @@
         for (upstream, count) in slots {
             assert!(
                 count <= SLOTS,
-                "seed {seed} at {}: {upstream} runs {count}\n{}\n{}",
+                "seed {seed} at {}: {upstream} runs {count} requests in {SLOTS} slots\n{}\n{}",
                 self.time,
                 self.describe_upstream(upstream),
                 self.describe()
@@ -531,12 +569,13 @@
         for (team, count) in units {
             assert!(
                 count <= LIMIT,
-                "seed {seed} at {}: {team} runs {count}",
+                "seed {seed} at {}: team {team} runs {count} units, limit {LIMIT}",
                 self.time
             );
         }
     }
 
+    /// Asserts that at most one instance of a zone acts as its leader.
     pub fn check_leaders(&mut self) {
         for zone in ZONES {
             let acting: Vec<&str> = self
@@ -552,7 +591,7 @@
                 .collect();
             assert!(
                 acting.len() <= 1,
-                "seed {} at {}: {acting:?} lead zone {zone}",
+                "seed {} at {}: {acting:?} all lead zone {zone}",
                 self.seed,
                 self.time
             );
@@ -565,11 +604,12 @@
         }
     }
 
+    /// Asserts that the configuration version of an instance never decreases.
     pub fn check_versions(&mut self) {
         let seed = self.seed;
         for host in &mut self.hosts {
             let Some(control) = &host.control else {
-                // An instance without a disk starts from nothing and says so.
+                // An instance without a disk restarts from an empty state.
                 if !host.durable {
                     host.version = 0;
                 }
@@ -577,12 +617,18 @@
             };
             let version = control.registry().version;
             if version > 0 {
-                assert!(version >= host.version, "seed {seed}: {} fell", host.name);
+                assert!(
+                    version >= host.version,
+                    "seed {seed}: configuration version of {} decreased",
+                    host.name
+                );
                 host.version = version;
             }
         }
     }
 
+    /// Asserts that a withdrawn key is refused everywhere once the freshness bound, with 1 %
+    /// allowed for clock drift, has passed.
     pub fn check_key(&self) {
         let Some(at) = self.withdrawn else {
             return;
@@ -604,7 +650,7 @@
             let bound = FRESHNESS + FRESHNESS / 100;
             assert!(
                 dead || !fresh || self.time < at + bound,
-                "seed {}: {} takes a key withdrawn {} us ago",
+                "seed {}: {} accepts a key that was withdrawn {} us ago",
                 self.seed,
                 host.name,
                 self.time - at
@@ -612,6 +658,7 @@
         }
     }
 
+    /// Pushes the configuration and adds key `k`.
     pub fn prepare(&mut self) {
         self.run_until(START + 3_000_000, false);
         let text = format!(
@@ -640,6 +687,7 @@
         self.ask(1, Target::Root, Query::Propose(give));
     }
 
+    /// Withdraws key `k` through a random instance.
     pub fn withdraw(&mut self) {
         let at = self.rng.random_range(0..self.hosts.len());
         let query = Query::Propose(Command::WithdrawKey { id: "k".to_owned() });
@@ -647,7 +695,7 @@
         self.withdraw_call = Some(call);
     }
 
-    /// Heals everything and requires that every instance serves again.
+    /// Heals all faults and asserts that every instance serves requests again.
     pub fn recover(&mut self) {
         self.cut.clear();
         for host in &mut self.hosts {
@@ -660,7 +708,7 @@
             let started = self.started_by.get(&at).copied().unwrap_or(0);
             assert!(
                 started > 0,
-                "seed {}: {} starts nothing after everything was healed: {}",
+                "seed {}: {} starts no requests after all faults were healed: {}",
                 self.seed,
                 self.hosts[at].name,
                 self.describe()
