--- a/src/cell/calls.rs
+++ b/src/cell/calls.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Default)]
 pub struct Calls {
     /// Id of the latest call.
-    next: u64,
+    latest_id: u64,
     /// Pending calls by id, each with the peer that may answer it.
-    open: HashMap<u64, (InstanceId, oneshot::Sender<RemoteAnswer>)>,
+    pending: HashMap<u64, (InstanceId, oneshot::Sender<RemoteAnswer>)>,
 }
 
 impl Calls {
@@ -29,10 +29,10 @@
         remote: &Remote,
     ) -> oneshot::Receiver<RemoteAnswer> {
         let (reply, answer) = oneshot::channel();
-        self.next += 1;
-        self.open.insert(self.next, (peer, reply));
+        self.latest_id += 1;
+        self.pending.insert(self.latest_id, (peer, reply));
         link.send(Body::Call(Call {
-            id: self.next,
+            id: self.latest_id,
             body: codec::encode(remote),
         }));
         answer
@@ -44,13 +44,13 @@
     /// # Errors
     ///
     /// Fails if the answer cannot be decoded; the call stays pending.
-    pub fn take(&mut self, from: InstanceId, back: &Return) -> Result<(), postcard::Error> {
+    pub fn complete(&mut self, from: InstanceId, response: &Return) -> Result<(), postcard::Error> {
         let is_from = |(peer, _): &(InstanceId, _)| *peer == from;
-        if !self.open.get(&back.id).is_some_and(is_from) {
+        if !self.pending.get(&response.id).is_some_and(is_from) {
             return Ok(());
         }
-        let answer: RemoteAnswer = codec::decode(&back.body)?;
-        if let Some((_, reply)) = self.open.remove(&back.id) {
+        let answer: RemoteAnswer = codec::decode(&response.body)?;
+        if let Some((_, reply)) = self.pending.remove(&response.id) {
             // Sending fails if the caller no longer waits.
             let _ = reply.send(answer);
         }
@@ -58,14 +58,14 @@
     }
 
     /// Drops calls to peers without a link and calls whose caller no longer waits.
-    pub fn sweep(&mut self, links: &Links) {
-        self.open
+    pub fn remove_abandoned(&mut self, links: &Links) {
+        self.pending
             .retain(|_, (peer, reply)| links.contains_key(peer) && !reply.is_closed());
     }
 }
 
 /// Answers a peer's call `id` over `link`.
-pub fn answer(link: &Link, id: u64, answer: &RemoteAnswer) {
+pub fn send_answer(link: &Link, id: u64, answer: &RemoteAnswer) {
     link.send(Body::Return(Return {
         id,
         body: codec::encode(answer),
--- a/src/cell/control/links.rs
+++ b/src/cell/control/links.rs
@@ -4,7 +4,7 @@
 
 use super::{Control, Origin};
 use crate::cell::journal::Line;
-use crate::cell::{Asked, Port, Remote, RemoteAnswer, calls};
+use crate::cell::{LocalQuery, Port, Remote, RemoteAnswer, calls};
 use crate::core::control::Peer;
 use crate::core::plane::codec;
 use crate::core::plane::lead::{Answer, Call};
@@ -13,9 +13,9 @@
 use crate::wire::{Body, Leading};
 
 impl<P: Port> Control<P> {
-    pub(super) fn take_notice(&mut self, notice: Notice) {
-        match notice {
-            Notice::Up(peer, link) => self.take_peer(peer, link),
+    pub(super) fn handle_link_event(&mut self, event: Notice) {
+        match event {
+            Notice::Up(peer, link) => self.handle_peer_up(peer, link),
             Notice::Down(id, number) => {
                 let Some(links) = self.links.get_mut(&id) else {
                     return;
@@ -27,18 +27,18 @@
                         let peer = peer.name;
                         self.journal.write(&Line::PeerDown { peer });
                     }
-                    self.calls.sweep(&self.links);
-                    self.renew_askers();
+                    self.calls.remove_abandoned(&self.links);
+                    self.update_requesters();
                 }
             }
-            Notice::Message(from, body) => self.take_message(from, body),
+            Notice::Message(from, body) => self.handle_message(from, body),
             Notice::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
         }
     }
 
-    pub(super) fn take_peer(&mut self, peer: Peer, link: Link) {
+    pub(super) fn handle_peer_up(&mut self, peer: Peer, link: Link) {
         let now = self.clock.now();
-        if self.leads(now) {
+        if self.is_leading(now) {
             let term = self.replica.term();
             link.send(Body::Leading(Leading { term }));
         }
@@ -48,17 +48,17 @@
         });
         self.links.entry(peer.id).or_default().push(link);
         self.peers.insert(peer.id, peer);
-        self.renew_askers();
+        self.update_requesters();
     }
 
-    pub(super) fn renew_askers(&mut self) {
-        let askers = self.askers();
+    pub(super) fn update_requesters(&mut self) {
+        let requesters = self.requesters();
         if let Some((_, lead)) = &mut self.lead {
-            lead.set_askers(&askers);
+            lead.set_askers(&requesters);
         }
     }
 
-    pub(super) fn take_message(&mut self, from: InstanceId, body: Body) {
+    pub(super) fn handle_message(&mut self, from: InstanceId, body: Body) {
         match body {
             Body::Raft(raft) => {
                 let now = self.clock.now();
@@ -66,12 +66,12 @@
             }
             Body::Ping(ping) => self.mesh.learn(&ping.peers),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
-                Ok(remote) => self.take_remote(from, call.id, remote),
-                Err(err) => self.unreadable("call from a peer", &err),
+                Ok(remote) => self.handle_call(from, call.id, remote),
+                Err(err) => self.log_unreadable("call from a peer", &err),
             },
-            Body::Return(back) => {
-                if let Err(err) = self.calls.take(from, &back) {
-                    self.unreadable("answer from a peer", &err);
+            Body::Return(response) => {
+                if let Err(err) = self.calls.complete(from, &response) {
+                    self.log_unreadable("answer from a peer", &err);
                 }
             }
             // Leader heartbeats are not needed here, since the leader's log entries identify
@@ -80,27 +80,27 @@
         }
     }
 
-    pub(super) fn unreadable(&self, what: &'static str, err: &postcard::Error) {
+    pub(super) fn log_unreadable(&self, what: &'static str, err: &postcard::Error) {
         let error = err.to_string();
         self.journal.write(&Line::Unreadable { what, error });
     }
 
-    pub(super) fn take_remote(&mut self, from: InstanceId, id: u64, remote: Remote) {
+    pub(super) fn handle_call(&mut self, from: InstanceId, id: u64, remote: Remote) {
         match remote {
             Remote::Query(query) => {
                 self.next_call += 1;
                 let call = Call(self.next_call);
                 self.origins.insert(call, Origin::Peer(from, id));
-                self.ask_lead(call, query);
+                self.handle_query(call, query);
             }
-            Remote::Permission(question) => {
+            Remote::Permission(request) => {
                 let Some(link) = self.link(from).cloned() else {
                     return;
                 };
-                let port = Arc::clone(&self.port);
+                let transport = Arc::clone(&self.transport);
                 tokio::spawn(async move {
-                    let answer = RemoteAnswer::Permission(port.ask(question).await);
-                    calls::answer(&link, id, &answer);
+                    let answer = RemoteAnswer::Permission(transport.ask(request).await);
+                    calls::send_answer(&link, id, &answer);
                 });
             }
         }
@@ -110,32 +110,32 @@
         self.links.get(&to)?.last()
     }
 
-    pub(super) fn take_asked(&mut self, asked: Asked) {
+    pub(super) fn handle_local_query(&mut self, local: LocalQuery) {
         let now = self.clock.now();
         if self.replica.is_leader() {
             self.next_call += 1;
             let call = Call(self.next_call);
-            self.origins.insert(call, Origin::Local(asked.reply));
-            if self.leads(now) {
-                self.ask_lead(call, asked.query);
+            self.origins.insert(call, Origin::Local(local.reply));
+            if self.is_leading(now) {
+                self.handle_query(call, local.query);
             } else {
-                self.answer(call, Answer::NotLeader);
+                self.send_answer(call, Answer::NotLeader);
             }
             return;
         }
         let leader = self.replica.leader().and_then(|id| self.instance_of(id));
         let Some((leader, link)) = leader.and_then(|id| Some((id, self.link(id)?.clone()))) else {
             // Sending fails if the caller no longer waits.
-            let _ = asked.reply.send(Answer::NotLeader);
+            let _ = local.reply.send(Answer::NotLeader);
             return;
         };
-        let answer = self.calls.send(leader, &link, &Remote::Query(asked.query));
+        let answer = self.calls.send(leader, &link, &Remote::Query(local.query));
         tokio::spawn(async move {
             let answer = match answer.await {
                 Ok(RemoteAnswer::Query(answer)) => answer,
                 _ => Answer::Unknown,
             };
-            let _ = asked.reply.send(answer);
+            let _ = local.reply.send(answer);
         });
     }
 }
--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -1,10 +1,10 @@
 //! The replicated log: sends messages, stores and applies entries, compacts the log.
 
-use super::{COMPACT_BYTES, COMPACT_ENTRIES, Control};
+use super::{COMPACT_LOG_BYTES, COMPACT_LOG_ENTRIES, Control};
 use crate::cell::Port;
 use crate::cell::journal::Line;
 use crate::cell::metrics::Metrics;
-use crate::cell::storage::{Done, Job};
+use crate::cell::storage::{Completion, Request};
 use crate::core::consensus::{Ballot, Ready};
 use crate::core::plane::codec;
 use crate::core::plane::state::{Command, State};
@@ -14,7 +14,7 @@
     // Processes the replica's output until there is none: sends messages, hands entries to
     // the disk thread and applies committed entries. While a write is in progress, only
     // output that needs no further write is processed.
-    pub(super) fn pump(&mut self) {
+    pub(super) fn process_ready(&mut self) {
         loop {
             let now = self.clock.now();
             self.replica.flush(now);
@@ -28,7 +28,7 @@
                 continue;
             }
             let mut ready = self.replica.take_ready();
-            self.note_ballots(std::mem::take(&mut ready.ballots));
+            self.log_election_events(std::mem::take(&mut ready.ballots));
             if ready.is_idle() {
                 break;
             }
@@ -38,7 +38,7 @@
                 self.send_all(messages);
             }
             if let Some(snapshot) = &ready.snapshot {
-                self.load(snapshot.index, &snapshot.data);
+                self.restore_snapshot(snapshot.index, &snapshot.data);
             }
             let committed = std::mem::take(&mut ready.committed);
             if ready.needs_disk() {
@@ -49,7 +49,7 @@
         self.compact();
     }
 
-    fn note_ballots(&self, ballots: Vec<Ballot>) {
+    fn log_election_events(&self, ballots: Vec<Ballot>) {
         for ballot in ballots {
             let line = match ballot {
                 Ballot::Stood {
@@ -87,7 +87,11 @@
         let log = self.replica.log();
         let last = (log.last_index(), log.last_term());
         let ready = Box::new(ready);
-        if self.jobs.send(Job::Store { ready, last }).is_err() {
+        if self
+            .disk_requests
+            .send(Request::Store { ready, last })
+            .is_err()
+        {
             self.journal.write(&Line::DiskRefused {
                 error: "disk thread has ended; stopping this instance".to_owned(),
             });
@@ -96,20 +100,20 @@
         self.storing = true;
     }
 
-    pub(super) fn take_stored(&mut self, done: Done) {
-        match done {
-            Done::Stored { ready, last } => {
+    pub(super) fn handle_disk_result(&mut self, completion: Completion) {
+        match completion {
+            Completion::Stored { ready, last } => {
                 self.storing = false;
                 let now = self.clock.now();
                 self.replica.persisted_to(now, last.0, last.1);
                 self.send_all(ready.messages);
-                self.pump();
+                self.process_ready();
             }
-            Done::Compacted => self.compacting = false,
+            Completion::Compacted => self.compacting = false,
         }
     }
 
-    pub(super) fn load(&mut self, index: u64, data: &[u8]) {
+    pub(super) fn restore_snapshot(&mut self, index: u64, data: &[u8]) {
         match codec::decode::<State>(data) {
             Ok(state) => {
                 self.state = state;
@@ -117,7 +121,7 @@
             }
             Err(err) => {
                 // Continuing would apply later entries to the wrong state.
-                self.unreadable("state in a snapshot", &err);
+                self.log_unreadable("state in a snapshot", &err);
                 self.token.cancel();
             }
         }
@@ -139,7 +143,7 @@
         if !entry.command.is_empty() {
             match codec::decode::<Command>(&entry.command) {
                 Ok(command) => self.apply_command(command),
-                Err(err) => self.unreadable("command in a log entry", &err),
+                Err(err) => self.log_unreadable("command in a log entry", &err),
             }
         }
         self.state.applied = entry.index;
@@ -147,8 +151,12 @@
         if let Some(at) = self.proposed_at.remove(&entry.index) {
             Metrics::observe(&self.metrics.commit_seconds, now.since(at));
         }
-        for (call, answer) in self.waiting.remove(&entry.index).unwrap_or_default() {
-            self.answer(call, answer);
+        for (call, answer) in self
+            .deferred_answers
+            .remove(&entry.index)
+            .unwrap_or_default()
+        {
+            self.send_answer(call, answer);
         }
     }
 
@@ -158,7 +166,7 @@
             Some((_, lead)) => {
                 self.state.apply(command.clone());
                 let effects = lead.applied(now, &self.state, &command);
-                self.carry_out(effects);
+                self.execute(effects);
             }
             None => self.state.apply(command),
         }
@@ -182,7 +190,7 @@
 
     pub(super) fn compact(&mut self) {
         let log = self.replica.log();
-        let is_long = log.bytes() >= COMPACT_BYTES || log.len() >= COMPACT_ENTRIES;
+        let is_long = log.bytes() >= COMPACT_LOG_BYTES || log.len() >= COMPACT_LOG_ENTRIES;
         if !is_long || self.compacting || self.storing {
             return;
         }
@@ -196,8 +204,8 @@
         let entries = log.slice(log.first_index(), usize::MAX);
         self.journal.write(&Line::Compacted { index, bytes });
         self.compacting = true;
-        let job = Job::Compact(Box::new(snapshot), entries);
-        if self.jobs.send(job).is_err() {
+        let request = Request::Compact(Box::new(snapshot), entries);
+        if self.disk_requests.send(request).is_err() {
             self.token.cancel();
         }
     }
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -16,10 +16,10 @@
 use crate::cell::calls::{self, Calls};
 use crate::cell::journal::{Journal, Line};
 use crate::cell::metrics::Metrics;
-use crate::cell::storage::{self, Done, Job};
+use crate::cell::storage::{self, Completion, Request};
 use crate::cell::{
-    Asked, Handle, INBOX_MAX, LEADING_EVERY, Links, PING_EVERY, Port, Remote, RemoteAnswer,
-    Settings,
+    Handle, INBOX_MESSAGES_MAX, LEADER_HEARTBEAT_INTERVAL, Links, LocalQuery, PING_INTERVAL, Port,
+    Remote, RemoteAnswer, Settings,
 };
 use crate::clock::{self, Clock};
 use crate::core::consensus::Replica;
@@ -38,24 +38,24 @@
 use crate::wire::{Body, Leading, Ping, Voter};
 
 /// Longest wait of the loop on a leader: the shortest interval of the leader's timers.
-const LEAD_TICK: Duration = Duration::from_millis(20);
+const LEADER_LOOP_WAIT_MAX: Duration = Duration::from_millis(20);
 /// Longest wait of the loop on any other instance.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+const IDLE_LOOP_WAIT_MAX: Duration = Duration::from_millis(50);
 /// Largest number of inputs that share one write of the log.
-const BATCH_MAX: usize = 512;
+const BATCH_INPUTS_MAX: usize = 512;
 /// A longer gap between iterations of the loop is logged as a suspension of the process.
-const PAUSE_MIN: Duration = Duration::from_millis(1_000);
+const SUSPENSION_MIN: Duration = Duration::from_millis(1_000);
 /// Interval at which the leader checks whether voters need to be replaced.
-const ROSTER_EVERY: Duration = Duration::from_millis(200);
+const VOTER_REVIEW_INTERVAL: Duration = Duration::from_millis(200);
 /// Log size at which the log is compacted: a tenth of the smallest supported disk.
-const COMPACT_BYTES: usize = 12 << 20;
+const COMPACT_LOG_BYTES: usize = 12 << 20;
 /// Number of log entries at which the log is compacted.
-const COMPACT_ENTRIES: usize = 40_000;
+const COMPACT_LOG_ENTRIES: usize = 40_000;
 
 /// Result of a request that a spawned task made for the leader. The numbers are the term
 /// in which it was made and the number of the order or permission request.
 #[derive(Debug)]
-enum Back {
+enum TaskResult {
     Reply(u64, u64, Reply),
     Permission(u64, u64, Permission),
 }
@@ -70,17 +70,17 @@
 }
 
 struct Inboxes {
-    notices: mpsc::Receiver<Notice>,
-    asked: mpsc::Receiver<Asked>,
-    back: mpsc::Receiver<Back>,
-    stored: mpsc::Receiver<Done>,
+    events: mpsc::Receiver<Notice>,
+    queries: mpsc::Receiver<LocalQuery>,
+    results: mpsc::Receiver<TaskResult>,
+    completions: mpsc::Receiver<Completion>,
 }
 
 struct Control<P> {
     settings: Settings,
-    me: Identity,
+    identity: Identity,
     clock: Clock,
-    port: Arc<P>,
+    transport: Arc<P>,
     journal: Journal,
     metrics: Metrics,
     mesh: Arc<Mesh>,
@@ -94,20 +94,20 @@
     origins: HashMap<Call, Origin>,
     next_call: u64,
     /// Answers to send once the log entry with this index is applied.
-    waiting: BTreeMap<u64, Vec<(Call, Answer)>>,
+    deferred_answers: BTreeMap<u64, Vec<(Call, Answer)>>,
     /// When the entry with this index was proposed.
     proposed_at: BTreeMap<u64, Moment>,
-    jobs: std::sync::mpsc::Sender<Job>,
+    disk_requests: std::sync::mpsc::Sender<Request>,
     /// Whether the disk thread has a write to finish.
     storing: bool,
     /// Whether the disk thread has a snapshot to finish.
     compacting: bool,
-    back: mpsc::Sender<Back>,
-    ping_at: Moment,
-    leading_at: Moment,
-    roster_at: Moment,
+    results: mpsc::Sender<TaskResult>,
+    next_ping_at: Moment,
+    next_leader_heartbeat_at: Moment,
+    next_voter_review_at: Moment,
     /// Replica that was last logged as the leader.
-    seen_leader: Option<u64>,
+    logged_leader: Option<u64>,
     resign: Arc<Notify>,
     token: CancellationToken,
 }
@@ -119,7 +119,7 @@
 /// Fails if the peer address cannot be bound or the data folder cannot be used.
 pub async fn start<P: Port>(
     settings: Settings,
-    port: Arc<P>,
+    transport: Arc<P>,
     journal: Journal,
     metrics: Metrics,
     token: CancellationToken,
@@ -129,7 +129,7 @@
     let path = settings.data.clone().unwrap_or_default();
     let (wal, stored) = Wal::open(Folder::open(&path)?)?;
     let id = InstanceId(rand::random::<u64>().max(1));
-    let me = Identity {
+    let identity = Identity {
         id,
         name: settings.name.clone(),
         zone: settings.zone.clone(),
@@ -141,39 +141,46 @@
     };
     let mut state = State::default();
     if !stored.snapshot.data.is_empty() {
-        state = read_state(&stored.snapshot.data)?;
+        state = decode_state(&stored.snapshot.data)?;
         state.applied = stored.snapshot.index;
     }
     let now = clock.now();
-    let replica = Replica::new(me.replica, &me.name, true, stored, now, rand::random());
-    let (notices, notices_in) = mpsc::channel(INBOX_MAX);
-    let (asked, asked_in) = mpsc::channel(INBOX_MAX);
-    let (back, back_in) = mpsc::channel(INBOX_MAX);
-    let (done, stored_in) = mpsc::channel(8);
-    let (jobs, jobs_in) = std::sync::mpsc::channel();
+    let replica = Replica::new(
+        identity.replica,
+        &identity.name,
+        true,
+        stored,
+        now,
+        rand::random(),
+    );
+    let (events, events_in) = mpsc::channel(INBOX_MESSAGES_MAX);
+    let (queries, queries_in) = mpsc::channel(INBOX_MESSAGES_MAX);
+    let (results, results_in) = mpsc::channel(INBOX_MESSAGES_MAX);
+    let (completions, completions_in) = mpsc::channel(8);
+    let (disk_requests, disk_requests_in) = std::sync::mpsc::channel();
     let mesh = Mesh::new(
-        me.clone(),
+        identity.clone(),
         settings.secret.clone(),
         &settings.seeds,
-        notices,
+        events,
         token.child_token(),
     );
     let disk_journal = journal.clone();
     std::thread::Builder::new()
         .name("disk".to_owned())
-        .spawn(move || storage::run(wal, &jobs_in, &done, &disk_journal))?;
+        .spawn(move || storage::run(wal, &disk_requests_in, &completions, &disk_journal))?;
     tokio::spawn(Arc::clone(&mesh).run(listener));
     let resign = Arc::new(Notify::new());
     let handle = Handle {
-        asked,
+        queries,
         resign: Arc::clone(&resign),
         mesh: Arc::clone(&mesh),
     };
     let control = Control {
         settings,
-        me,
+        identity,
         clock,
-        port,
+        transport,
         journal,
         metrics,
         mesh,
@@ -185,30 +192,30 @@
         calls: Calls::default(),
         origins: HashMap::new(),
         next_call: 0,
-        waiting: BTreeMap::new(),
+        deferred_answers: BTreeMap::new(),
         proposed_at: BTreeMap::new(),
-        jobs,
+        disk_requests,
         storing: false,
         compacting: false,
-        back,
-        ping_at: Moment::ZERO,
-        leading_at: Moment::ZERO,
-        roster_at: Moment::ZERO,
-        seen_leader: None,
+        results,
+        next_ping_at: Moment::ZERO,
+        next_leader_heartbeat_at: Moment::ZERO,
+        next_voter_review_at: Moment::ZERO,
+        logged_leader: None,
         resign,
         token,
     };
     let inboxes = Inboxes {
-        notices: notices_in,
-        asked: asked_in,
-        back: back_in,
-        stored: stored_in,
+        events: events_in,
+        queries: queries_in,
+        results: results_in,
+        completions: completions_in,
     };
     tokio::spawn(control.run(inboxes));
     Ok(handle)
 }
 
-fn read_state(data: &[u8]) -> Result<State> {
+fn decode_state(data: &[u8]) -> Result<State> {
     codec::decode(data).map_err(|err| {
         let message = format!("state in the stored snapshot cannot be decoded: {err}");
         crate::error::Error::new(crate::error::Kind::Internal, message)
@@ -220,21 +227,21 @@
         let mut last = self.clock.now();
         let mut busy = Duration::ZERO;
         loop {
-            let wait = self.pause();
+            let wait = self.loop_wait();
             let resign = Arc::clone(&self.resign);
             tokio::select! {
                 biased;
                 () = self.token.cancelled() => return,
                 () = resign.notified() => self.replica.resign(self.clock.now()),
-                Some(done) = inboxes.stored.recv() => self.take_stored(done),
-                Some(notice) = inboxes.notices.recv() => self.take_notice(notice),
-                Some(back) = inboxes.back.recv() => self.take_back(back),
-                Some(asked) = inboxes.asked.recv() => self.take_asked(asked),
+                Some(completion) = inboxes.completions.recv() => self.handle_disk_result(completion),
+                Some(event) = inboxes.events.recv() => self.handle_link_event(event),
+                Some(result) = inboxes.results.recv() => self.handle_task_result(result),
+                Some(query) = inboxes.queries.recv() => self.handle_local_query(query),
                 () = sleep(wait) => {}
             }
             let now = self.clock.now();
             let gap = now.since(last);
-            if gap > PAUSE_MIN {
+            if gap > SUSPENSION_MIN {
                 self.journal.write(&Line::Paused {
                     ms: gap.as_millis() as u64,
                     busy_ms: busy.as_millis() as u64,
@@ -243,32 +250,32 @@
             last = now;
             self.drain(&mut inboxes);
             self.tick();
-            self.pump();
+            self.process_ready();
             busy = self.clock.now().since(last);
         }
     }
 
     fn drain(&mut self, inboxes: &mut Inboxes) {
-        for _ in 0..BATCH_MAX {
-            if let Ok(notice) = inboxes.notices.try_recv() {
-                self.take_notice(notice);
-            } else if let Ok(back) = inboxes.back.try_recv() {
-                self.take_back(back);
-            } else if let Ok(asked) = inboxes.asked.try_recv() {
-                self.take_asked(asked);
+        for _ in 0..BATCH_INPUTS_MAX {
+            if let Ok(event) = inboxes.events.try_recv() {
+                self.handle_link_event(event);
+            } else if let Ok(result) = inboxes.results.try_recv() {
+                self.handle_task_result(result);
+            } else if let Ok(query) = inboxes.queries.try_recv() {
+                self.handle_local_query(query);
             } else {
                 return;
             }
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn loop_wait(&self) -> Duration {
         let Some((_, lead)) = &self.lead else {
-            return IDLE_TICK;
+            return IDLE_LOOP_WAIT_MAX;
         };
         let now = self.clock.now();
         let wake = lead.wake_at();
-        Duration::from_micros(wake.0.saturating_sub(now.0)).min(LEAD_TICK)
+        Duration::from_micros(wake.0.saturating_sub(now.0)).min(LEADER_LOOP_WAIT_MAX)
     }
 
     fn now(&self) -> Now {
@@ -281,32 +288,32 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         self.replica.tick(now);
-        self.found(now);
-        self.ping(now);
-        self.tell_leading(now);
-        self.review_roster(now);
-        self.follow_leadership(now);
+        self.bootstrap(now);
+        self.send_pings(now);
+        self.send_leader_heartbeats(now);
+        self.review_voters(now);
+        self.update_leadership(now);
         let now = self.now();
         if let Some((_, lead)) = &mut self.lead {
             let effects = lead.tick(now, &self.state);
-            self.carry_out(effects);
+            self.execute(effects);
         }
     }
 
     // Bootstraps a new cell. Only the seed with the lowest address does so, and only once
     // it is linked to all other seeds and none of them belongs to a group yet.
-    fn found(&mut self, now: Moment) {
+    fn bootstrap(&mut self, now: Moment) {
         if !self.settings.founding || !self.replica.is_blank() {
             return;
         }
         let mut founders = self.settings.seeds.clone();
         founders.sort_unstable();
-        if founders.first() != Some(&self.me.address) {
+        if founders.first() != Some(&self.identity.address) {
             return;
         }
         let mut voters = vec![Voter {
-            replica: self.me.replica,
-            name: self.me.name.clone(),
+            replica: self.identity.replica,
+            name: self.identity.name.clone(),
         }];
         for address in &founders[1..] {
             let found = self.peers.values().find(|p| p.address == *address);
@@ -321,11 +328,11 @@
         self.replica.found(now, voters);
     }
 
-    fn ping(&mut self, now: Moment) {
-        if now < self.ping_at {
+    fn send_pings(&mut self, now: Moment) {
+        if now < self.next_ping_at {
             return;
         }
-        self.ping_at = now + PING_EVERY;
+        self.next_ping_at = now + PING_INTERVAL;
         let peers: Vec<String> = self
             .peers
             .values()
@@ -342,32 +349,32 @@
         for link in self.links.values().flatten() {
             link.send(Body::Ping(ping.clone()));
         }
-        self.calls.sweep(&self.links);
+        self.calls.remove_abandoned(&self.links);
         let dropped = self.journal.dropped();
         self.metrics.lines_dropped.set(dropped as i64);
     }
 
-    fn tell_leading(&mut self, now: Moment) {
-        if now < self.leading_at || !self.leads(now) {
+    fn send_leader_heartbeats(&mut self, now: Moment) {
+        if now < self.next_leader_heartbeat_at || !self.is_leading(now) {
             return;
         }
-        self.leading_at = now + LEADING_EVERY;
+        self.next_leader_heartbeat_at = now + LEADER_HEARTBEAT_INTERVAL;
         let term = self.replica.term();
         for link in self.links.values().filter_map(|links| links.last()) {
             link.send(Body::Leading(Leading { term }));
         }
         let metrics = &self.metrics;
-        metrics.configuration.set(self.state.plan.version as i64);
+        metrics.config_version.set(self.state.plan.version as i64);
         metrics.open_jobs.set(self.state.open.len() as i64);
         let workers = self.state.live_workers().count();
         metrics.workers.set(workers as i64);
     }
 
-    fn review_roster(&mut self, now: Moment) {
-        if now < self.roster_at || !self.leads(now) {
+    fn review_voters(&mut self, now: Moment) {
+        if now < self.next_voter_review_at || !self.is_leading(now) {
             return;
         }
-        self.roster_at = now + ROSTER_EVERY;
+        self.next_voter_review_at = now + VOTER_REVIEW_INTERVAL;
         let place = |peer: &Peer| Place {
             name: peer.name.clone(),
             zone: peer.zone.clone(),
@@ -379,10 +386,10 @@
             .map(|p| (p.replica, place(p)))
             .collect();
         let own = Place {
-            name: self.me.name.clone(),
-            zone: self.me.zone.clone(),
+            name: self.identity.name.clone(),
+            zone: self.identity.zone.clone(),
         };
-        places.insert(self.me.replica, own);
+        places.insert(self.identity.replica, own);
         let wanted = Wanted {
             voters: self.settings.voters,
             replace_after: self.settings.replace_after,
@@ -395,25 +402,25 @@
     }
 
     // Returns whether this instance leads and holds a valid lease.
-    fn leads(&self, now: Moment) -> bool {
+    fn is_leading(&self, now: Moment) -> bool {
         self.lead.is_some() && self.replica.is_leased(now)
     }
 
-    fn follow_leadership(&mut self, now: Moment) {
+    fn update_leadership(&mut self, now: Moment) {
         let term = self.replica.term();
         let lost = match &self.lead {
             Some((led, _)) => *led != term || !self.replica.is_leader(),
             None => false,
         };
         if lost {
-            self.lose_lead();
+            self.stop_leading();
         }
-        if self.lead.is_none() && self.replica.is_leased(now) && !self.is_behind() {
-            self.begin_lead(term);
+        if self.lead.is_none() && self.replica.is_leased(now) && !self.has_unapplied_entries() {
+            self.start_leading(term);
         }
         let leader = self.replica.leader();
-        if leader != self.seen_leader {
-            self.seen_leader = leader;
+        if leader != self.logged_leader {
+            self.logged_leader = leader;
             let name = leader.and_then(|id| self.instance_of(id));
             if let Some(peer) = name.and_then(|id| self.peers.get(&id)) {
                 let leader = peer.name.clone();
@@ -422,35 +429,42 @@
         }
     }
 
-    fn is_behind(&self) -> bool {
+    fn has_unapplied_entries(&self) -> bool {
         self.state.applied < self.replica.commit()
     }
 
-    fn begin_lead(&mut self, term: u64) {
+    fn start_leading(&mut self, term: u64) {
         let applied = self.state.applied;
         self.journal.write(&Line::Led { term, applied });
-        self.metrics.leads.set(1);
+        self.metrics.is_leader.set(1);
         let bounds = self.settings.bounds;
         let mut lead = Lead::new(self.now(), term, bounds, &self.state);
-        lead.set_askers(&self.askers());
+        lead.set_askers(&self.requesters());
         self.lead = Some((term, lead));
-        self.leading_at = Moment::ZERO;
+        self.next_leader_heartbeat_at = Moment::ZERO;
     }
 
-    fn lose_lead(&mut self) {
+    fn stop_leading(&mut self) {
         let Some((term, _)) = self.lead.take() else {
             return;
         };
         self.journal.write(&Line::LeadLost { term });
-        self.metrics.leads.set(0);
+        self.metrics.is_leader.set(0);
         self.proposed_at.clear();
-        for (call, _) in std::mem::take(&mut self.waiting).into_values().flatten() {
-            self.answer(call, Answer::Unknown);
+        for (call, _) in std::mem::take(&mut self.deferred_answers)
+            .into_values()
+            .flatten()
+        {
+            self.send_answer(call, Answer::Unknown);
         }
     }
 
-    fn askers(&self) -> Vec<InstanceId> {
-        self.links.keys().copied().chain([self.me.id]).collect()
+    fn requesters(&self) -> Vec<InstanceId> {
+        self.links
+            .keys()
+            .copied()
+            .chain([self.identity.id])
+            .collect()
     }
 
     fn instance_of(&self, replica: u64) -> Option<InstanceId> {
@@ -458,23 +472,23 @@
         peers.find(|p| p.replica == replica).map(|p| p.id)
     }
 
-    fn ask_lead(&mut self, call: Call, query: Query) {
+    fn handle_query(&mut self, call: Call, query: Query) {
         let now = self.now();
-        if !self.leads(now.at) {
-            self.answer(call, Answer::NotLeader);
+        if !self.is_leading(now.at) {
+            self.send_answer(call, Answer::NotLeader);
             return;
         }
         if let Some((_, lead)) = &mut self.lead {
             let effects = lead.ask(now, &self.state, call, query);
-            self.carry_out(effects);
+            self.execute(effects);
         }
     }
 
-    fn answer(&mut self, call: Call, answer: Answer) {
+    fn send_answer(&mut self, call: Call, answer: Answer) {
         match self.origins.remove(&call) {
             Some(Origin::Peer(peer, id)) => {
                 if let Some(link) = self.link(peer) {
-                    calls::answer(link, id, &RemoteAnswer::Query(answer));
+                    calls::send_answer(link, id, &RemoteAnswer::Query(answer));
                 }
             }
             // Sending fails if the caller no longer waits.
@@ -483,42 +497,42 @@
         }
     }
 
-    fn take_back(&mut self, back: Back) {
+    fn handle_task_result(&mut self, result: TaskResult) {
         let now = self.now();
         let Some((term, lead)) = &mut self.lead else {
             return;
         };
-        let effects = match back {
-            Back::Reply(of, number, reply) if of == *term => {
+        let effects = match result {
+            TaskResult::Reply(of, number, reply) if of == *term => {
                 lead.reply(now, &self.state, number, reply)
             }
-            Back::Permission(of, number, permission) if of == *term => {
+            TaskResult::Permission(of, number, permission) if of == *term => {
                 lead.permission(now, &self.state, number, permission)
             }
             // The request was made in an earlier term of this instance.
-            Back::Reply(..) | Back::Permission(..) => return,
+            TaskResult::Reply(..) | TaskResult::Permission(..) => return,
         };
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Propose(command, answers) => self.propose(&command, answers),
-                Effect::Answer(call, answer) => self.answer(call, answer),
+                Effect::Answer(call, answer) => self.send_answer(call, answer),
                 Effect::Order(order) => self.send_order(order),
-                Effect::Ask(asker, question) => self.send_question(asker, question),
-                Effect::Note(note) => self.take_note(&note),
+                Effect::Ask(requester, request) => self.send_permission_request(requester, request),
+                Effect::Note(note) => self.record_note(&note),
             }
         }
     }
 
-    fn take_note(&self, note: &Note) {
+    fn record_note(&self, note: &Note) {
         match note {
-            Note::Ended { how, .. } => Metrics::count(&self.metrics.ends, how.to_string()),
+            Note::Ended { how, .. } => Metrics::count(&self.metrics.run_ends, how.to_string()),
             Note::Placed { waited_ms, .. } => {
                 let waited = Duration::from_millis(*waited_ms);
-                Metrics::observe(&self.metrics.wait_seconds, waited);
+                Metrics::observe(&self.metrics.placement_wait_seconds, waited);
             }
             Note::Permission { granted, .. } => {
                 let outcome = if granted.is_some() {
@@ -526,7 +540,7 @@
                 } else {
                     "failed"
                 };
-                Metrics::count(&self.metrics.questions, outcome);
+                Metrics::count(&self.metrics.permission_requests, outcome);
             }
             _ => {}
         }
@@ -537,11 +551,11 @@
         match self.replica.propose(codec::encode(command)) {
             Ok(index) => {
                 self.proposed_at.insert(index, self.clock.now());
-                self.waiting.insert(index, answers);
+                self.deferred_answers.insert(index, answers);
             }
             Err(_) => {
                 for (call, _) in answers {
-                    self.answer(call, Answer::NotLeader);
+                    self.send_answer(call, Answer::NotLeader);
                 }
             }
         }
@@ -551,36 +565,38 @@
         let Some((term, _)) = &self.lead else {
             return;
         };
-        let (term, number, back) = (*term, order.number, self.back.clone());
+        let (term, number, results) = (*term, order.number, self.results.clone());
         let leased = self.replica.is_leased(self.clock.now());
-        let port = Arc::clone(&self.port);
+        let transport = Arc::clone(&self.transport);
         tokio::spawn(async move {
             let reply = if leased {
-                port.order(order).await
+                transport.order(order).await
             } else {
                 Reply::NotSent
             };
             // Sending fails during shutdown, when the loop ends before its tasks.
-            let _ = back.send(Back::Reply(term, number, reply)).await;
+            let _ = results.send(TaskResult::Reply(term, number, reply)).await;
         });
     }
 
-    fn send_question(&mut self, asker: InstanceId, question: Question) {
+    fn send_permission_request(&mut self, requester: InstanceId, request: Question) {
         let Some((term, _)) = &self.lead else {
             return;
         };
-        let (term, number, back) = (*term, question.number, self.back.clone());
-        if asker == self.me.id {
-            let port = Arc::clone(&self.port);
+        let (term, number, results) = (*term, request.number, self.results.clone());
+        if requester == self.identity.id {
+            let transport = Arc::clone(&self.transport);
             tokio::spawn(async move {
-                let permission = port.ask(question).await;
-                let _ = back.send(Back::Permission(term, number, permission)).await;
+                let permission = transport.ask(request).await;
+                let _ = results
+                    .send(TaskResult::Permission(term, number, permission))
+                    .await;
             });
             return;
         }
-        let link = self.link(asker).cloned();
-        let remote = Remote::Permission(question);
-        let answer = link.map(|link| self.calls.send(asker, &link, &remote));
+        let link = self.link(requester).cloned();
+        let remote = Remote::Permission(request);
+        let answer = link.map(|link| self.calls.send(requester, &link, &remote));
         tokio::spawn(async move {
             let permission = match answer {
                 Some(answer) => match answer.await {
@@ -589,7 +605,9 @@
                 },
                 None => Permission::NoAnswer,
             };
-            let _ = back.send(Back::Permission(term, number, permission)).await;
+            let _ = results
+                .send(TaskResult::Permission(term, number, permission))
+                .await;
         });
     }
 }
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -12,7 +12,7 @@
 
 use super::calls::{self, Calls};
 use super::journal::{Journal, Line};
-use super::{INBOX_MAX, Links, PING_EVERY, Port, Remote, RemoteAnswer, Settings};
+use super::{INBOX_MESSAGES_MAX, Links, PING_INTERVAL, Port, Remote, RemoteAnswer, Settings};
 use crate::clock::Clock;
 use crate::core::control::{Identity, Peer};
 use crate::core::plane::codec;
@@ -85,13 +85,13 @@
 /// Fails if the peer address cannot be bound.
 pub async fn start<P: Port>(
     settings: Settings,
-    port: Arc<P>,
+    transport: Arc<P>,
     journal: Journal,
     token: CancellationToken,
 ) -> Result<Entry> {
     let listener = TcpListener::bind(settings.peer).await?;
     let id = InstanceId(rand::random::<u64>().max(1));
-    let me = Identity {
+    let identity = Identity {
         id,
         name: settings.name.clone(),
         zone: settings.zone.clone(),
@@ -102,12 +102,12 @@
         founders: Vec::new(),
         replace_after: settings.replace_after,
     };
-    let (notices, inbox) = mpsc::channel(INBOX_MAX);
+    let (events, inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
     let mesh = Mesh::new(
-        me,
+        identity,
         settings.secret.clone(),
         &settings.seeds,
-        notices,
+        events,
         token.child_token(),
     );
     tokio::spawn(Arc::clone(&mesh).run(listener));
@@ -118,17 +118,17 @@
         clock: Clock::default(),
         mesh: Arc::clone(&mesh),
     };
-    let follower = Follower {
+    let event_loop = EventLoop {
         shared: Arc::clone(&entry.shared),
         leader,
         clock: entry.clock,
-        port,
+        transport,
         journal,
         mesh,
         token,
-        was_led: false,
+        had_leader: false,
     };
-    tokio::spawn(follower.run(inbox));
+    tokio::spawn(event_loop.run(inbox));
     Ok(entry)
 }
 
@@ -155,7 +155,7 @@
     /// Returns [`Answer::Unknown`] if an attempt was sent and its result is not known.
     pub async fn ask(&self, query: Query, deadline: Instant) -> Outcome {
         let mut attempts = 0;
-        let mut unknown = false;
+        let mut result_unknown = false;
         loop {
             let leader = self.await_leader(deadline).await;
             let outcome = |answer, attempts| Outcome {
@@ -164,14 +164,14 @@
                 term: leader.term,
                 leader_age: self.clock.now().since(leader.heard_at),
             };
-            let given_up = if unknown {
+            let failure = if result_unknown {
                 Answer::Unknown
             } else {
                 no_leader()
             };
-            let sent = leader.instance.and_then(|id| self.send(id, &query));
+            let sent = leader.instance.and_then(|id| self.send_query(id, &query));
             let Some(answer) = sent else {
-                return outcome(given_up, attempts);
+                return outcome(failure, attempts);
             };
             attempts += 1;
             let limit = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
@@ -179,29 +179,29 @@
                 answered = timeout_at(limit, answer) => answered,
                 // A replaced leader may never answer, so retry with the new one at once.
                 () = self.await_term_after(leader.term) => {
-                    unknown = true;
+                    result_unknown = true;
                     continue;
                 }
             };
             match answered {
                 Ok(Ok(RemoteAnswer::Query(Answer::NotLeader))) => {}
-                Ok(Ok(RemoteAnswer::Query(Answer::Unknown))) => unknown = true,
+                Ok(Ok(RemoteAnswer::Query(Answer::Unknown))) => result_unknown = true,
                 Ok(Ok(RemoteAnswer::Query(answer))) => return outcome(answer, attempts),
-                _ => unknown = true,
+                _ => result_unknown = true,
             }
             if Instant::now() + ATTEMPT_PAUSE >= deadline {
-                let given_up = if unknown {
+                let failure = if result_unknown {
                     Answer::Unknown
                 } else {
                     no_leader()
                 };
-                return outcome(given_up, attempts);
+                return outcome(failure, attempts);
             }
             tokio::time::sleep(ATTEMPT_PAUSE).await;
         }
     }
 
-    fn send(
+    fn send_query(
         &self,
         to: InstanceId,
         query: &Query,
@@ -250,30 +250,30 @@
     leader.instance.is_some() && now.since(leader.heard_at) <= LEADER_AGE_MAX
 }
 
-struct Follower<P> {
+struct EventLoop<P> {
     shared: Arc<Mutex<Shared>>,
     leader: watch::Sender<Leader>,
     clock: Clock,
-    port: Arc<P>,
+    transport: Arc<P>,
     journal: Journal,
     mesh: Arc<Mesh>,
     token: CancellationToken,
-    was_led: bool,
+    had_leader: bool,
 }
 
-impl<P: Port> Follower<P> {
+impl<P: Port> EventLoop<P> {
     async fn run(mut self, mut inbox: mpsc::Receiver<Notice>) {
-        let mut pings = interval(PING_EVERY);
+        let mut pings = interval(PING_INTERVAL);
         loop {
             tokio::select! {
                 () = self.token.cancelled() => return,
-                Some(notice) = inbox.recv() => self.take(notice),
-                _ = pings.tick() => self.ping(),
+                Some(event) = inbox.recv() => self.handle_link_event(event),
+                _ = pings.tick() => self.send_pings(),
             }
         }
     }
 
-    fn ping(&mut self) {
+    fn send_pings(&mut self) {
         let now = self.clock.now();
         let mut shared = self.shared.lock().expect("shared lock");
         let ping = Ping {
@@ -286,19 +286,19 @@
             link.send(Body::Ping(ping.clone()));
         }
         let Shared { links, calls, .. } = &mut *shared;
-        calls.sweep(links);
+        calls.remove_abandoned(links);
         drop(shared);
         let leader = *self.leader.borrow();
-        let is_led = is_fresh(&leader, now);
-        if self.was_led && !is_led {
+        let has_leader = is_fresh(&leader, now);
+        if self.had_leader && !has_leader {
             let age_ms = now.since(leader.heard_at).as_millis() as u64;
             self.journal.write(&Line::LeaderGone { age_ms });
         }
-        self.was_led = is_led;
+        self.had_leader = has_leader;
     }
 
-    fn take(&mut self, notice: Notice) {
-        match notice {
+    fn handle_link_event(&mut self, event: Notice) {
+        match event {
             Notice::Up(peer, link) => {
                 self.journal.write(&Line::PeerUp {
                     peer: peer.name.clone(),
@@ -308,13 +308,13 @@
                 shared.links.entry(peer.id).or_default().push(link);
                 shared.peers.insert(peer.id, peer);
             }
-            Notice::Down(id, number) => self.take_down(id, number),
-            Notice::Message(from, body) => self.take_message(from, body),
+            Notice::Down(id, number) => self.handle_link_down(id, number),
+            Notice::Message(from, body) => self.handle_message(from, body),
             Notice::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
         }
     }
 
-    fn take_down(&mut self, id: InstanceId, number: u64) {
+    fn handle_link_down(&mut self, id: InstanceId, number: u64) {
         let mut shared = self.shared.lock().expect("shared lock");
         let Some(links) = shared.links.get_mut(&id) else {
             return;
@@ -325,7 +325,7 @@
         }
         shared.links.remove(&id);
         let Shared { links, calls, .. } = &mut *shared;
-        calls.sweep(links);
+        calls.remove_abandoned(links);
         if let Some(peer) = shared.peers.remove(&id) {
             let peer = peer.name;
             self.journal.write(&Line::PeerDown { peer });
@@ -340,44 +340,44 @@
         });
     }
 
-    fn take_message(&mut self, from: InstanceId, body: Body) {
+    fn handle_message(&mut self, from: InstanceId, body: Body) {
         match body {
             Body::Ping(ping) => self.mesh.learn(&ping.peers),
-            Body::Leading(leading) => self.take_leading(from, leading.term),
+            Body::Leading(heartbeat) => self.handle_leader_heartbeat(from, heartbeat.term),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
-                Ok(Remote::Permission(question)) => {
+                Ok(Remote::Permission(request)) => {
                     let shared = self.shared.lock().expect("shared lock");
                     let link: Option<Link> =
                         shared.links.get(&from).and_then(|l| l.last()).cloned();
                     drop(shared);
-                    let (port, id) = (Arc::clone(&self.port), call.id);
+                    let (transport, id) = (Arc::clone(&self.transport), call.id);
                     tokio::spawn(async move {
-                        let answer = RemoteAnswer::Permission(port.ask(question).await);
+                        let answer = RemoteAnswer::Permission(transport.ask(request).await);
                         if let Some(link) = link {
-                            calls::answer(&link, id, &answer);
+                            calls::send_answer(&link, id, &answer);
                         }
                     });
                 }
                 // Entry instances do not answer queries.
                 Ok(Remote::Query(_)) => {}
-                Err(err) => self.unreadable("call from a peer", &err),
+                Err(err) => self.log_unreadable("call from a peer", &err),
             },
-            Body::Return(back) => {
+            Body::Return(response) => {
                 let mut shared = self.shared.lock().expect("shared lock");
-                if let Err(err) = shared.calls.take(from, &back) {
-                    self.unreadable("answer from a peer", &err);
+                if let Err(err) = shared.calls.complete(from, &response) {
+                    self.log_unreadable("answer from a peer", &err);
                 }
             }
             _ => {}
         }
     }
 
-    fn unreadable(&self, what: &'static str, err: &postcard::Error) {
+    fn log_unreadable(&self, what: &'static str, err: &postcard::Error) {
         let error = err.to_string();
         self.journal.write(&Line::Unreadable { what, error });
     }
 
-    fn take_leading(&mut self, from: InstanceId, term: u64) {
+    fn handle_leader_heartbeat(&mut self, from: InstanceId, term: u64) {
         let known = *self.leader.borrow();
         if term < known.term {
             return;
@@ -389,7 +389,7 @@
                 self.journal.write(&Line::LeaderSeen { leader, term });
             }
         }
-        self.was_led = true;
+        self.had_leader = true;
         self.leader.send_replace(Leader {
             instance: Some(from),
             term,
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -20,7 +20,7 @@
 /// rate take about 2 % of an entry instance's processor time.
 pub const LINES_PER_SECOND: u32 = 120;
 /// Capacity of the queue to the writer thread, in lines.
-const QUEUE_LINES: usize = 4_096;
+const QUEUE_LINES_MAX: usize = 4_096;
 
 /// Log lines of the process, apart from those of the leader (`Note`).
 #[derive(Clone, Debug, Serialize)]
@@ -199,7 +199,7 @@
     /// Lines written in the window.
     written: u32,
     /// Lines suppressed since the last line that was written.
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Log of one instance; clones write to the same sink and share the rate limits.
@@ -217,7 +217,7 @@
     pub fn new(instance: &str, sink: impl std::io::Write + Send + 'static) -> (Self, WorkerGuard) {
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(QUEUE_LINES)
+            .buffered_lines_limit(QUEUE_LINES_MAX)
             .finish(sink);
         let dropped = writer.error_counter();
         let journal = Self {
@@ -236,27 +236,27 @@
 
     /// Writes a line, subject to the rate limit of its kind.
     pub fn write(&self, line: &Line) {
-        self.put(Kind::Line(discriminant(line)), line);
+        self.write_limited(Kind::Line(discriminant(line)), line);
     }
 
     /// Writes a line of the leader, subject to the rate limit of its kind.
     pub fn note(&self, note: &Note) {
-        self.put(Kind::Note(discriminant(note)), note);
+        self.write_limited(Kind::Note(discriminant(note)), note);
     }
 
-    fn put<T: Serialize>(&self, kind: Kind, line: &T) {
+    fn write_limited<T: Serialize>(&self, kind: Kind, line: &T) {
         let at_ms = clock::wall_millis();
-        let Some(left_out) = self.admit(kind, at_ms / 1_000) else {
+        let Some(suppressed) = self.admit(kind, at_ms / 1_000) else {
             return;
         };
         let text = serde_json::to_string(line).expect("plain data always encodes");
-        if left_out > 0 {
-            let told = Line::LeftOut {
-                kind: kind_of(&text).to_owned(),
-                count: left_out,
+        if suppressed > 0 {
+            let summary = Line::LeftOut {
+                kind: event_name(&text).to_owned(),
+                count: suppressed,
             };
-            let told = serde_json::to_string(&told).expect("plain data always encodes");
-            self.emit(at_ms, &told);
+            let summary = serde_json::to_string(&summary).expect("plain data always encodes");
+            self.emit(at_ms, &summary);
         }
         self.emit(at_ms, &text);
     }
@@ -271,11 +271,11 @@
             budget.written = 0;
         }
         if budget.written >= LINES_PER_SECOND {
-            budget.left_out += 1;
+            budget.suppressed += 1;
             return None;
         }
         budget.written += 1;
-        Some(std::mem::take(&mut budget.left_out))
+        Some(std::mem::take(&mut budget.suppressed))
     }
 
     // Queues a line with time and instance in front of its own fields.
@@ -292,6 +292,6 @@
 }
 
 // Returns the event name of an encoded line. Serde writes the enum's tag as the first field.
-fn kind_of(text: &str) -> &str {
+fn event_name(text: &str) -> &str {
     text.split('"').nth(3).unwrap_or_default()
 }
--- a/src/cell/metrics.rs
+++ b/src/cell/metrics.rs
@@ -31,17 +31,17 @@
     /// Time for workers to answer start and stop orders, in seconds.
     pub order_seconds: Histogram,
     /// Ended runs by the way in which they ended.
-    pub ends: Family<Outcome, Counter>,
+    pub run_ends: Family<Outcome, Counter>,
     /// Permission requests by outcome.
-    pub questions: Family<Outcome, Counter>,
+    pub permission_requests: Family<Outcome, Counter>,
     /// Time from proposing a log entry to applying it, in seconds.
     pub commit_seconds: Histogram,
     /// Time from accepting a job to placing one of its runs, in seconds.
-    pub wait_seconds: Histogram,
+    pub placement_wait_seconds: Histogram,
     /// 1 if this instance leads, else 0.
-    pub leads: Gauge,
+    pub is_leader: Gauge,
     /// Version of the configuration in force.
-    pub configuration: Gauge,
+    pub config_version: Gauge,
     /// Jobs that have not ended.
     pub open_jobs: Gauge,
     /// Workers whose incarnation has not ended, which may be given work.
@@ -50,7 +50,7 @@
     pub lines_dropped: Gauge,
 }
 
-fn seconds() -> Histogram {
+fn duration_histogram() -> Histogram {
     // Upper bounds from 1 ms to about 16 s.
     Histogram::new(exponential_buckets(0.001, 2.0, 15))
 }
@@ -61,15 +61,15 @@
         let metrics = Self {
             registry: Arc::default(),
             requests: Family::default(),
-            request_seconds: seconds(),
+            request_seconds: duration_histogram(),
             orders: Family::default(),
-            order_seconds: seconds(),
-            ends: Family::default(),
-            questions: Family::default(),
-            commit_seconds: seconds(),
-            wait_seconds: seconds(),
-            leads: Gauge::default(),
-            configuration: Gauge::default(),
+            order_seconds: duration_histogram(),
+            run_ends: Family::default(),
+            permission_requests: Family::default(),
+            commit_seconds: duration_histogram(),
+            placement_wait_seconds: duration_histogram(),
+            is_leader: Gauge::default(),
+            config_version: Gauge::default(),
             open_jobs: Gauge::default(),
             workers: Gauge::default(),
             lines_dropped: Gauge::default(),
@@ -83,12 +83,24 @@
         );
         registry.register("orders", "Orders to workers", m.orders.clone());
         registry.register("order_seconds", "Time of orders", m.order_seconds.clone());
-        registry.register("ends", "Ends of runs", m.ends.clone());
-        registry.register("questions", "Permission questions", m.questions.clone());
+        registry.register("ends", "Ends of runs", m.run_ends.clone());
+        registry.register(
+            "questions",
+            "Permission questions",
+            m.permission_requests.clone(),
+        );
         registry.register("commit_seconds", "Time to commit", m.commit_seconds.clone());
-        registry.register("wait_seconds", "Wait of runs", m.wait_seconds.clone());
-        registry.register("leads", "Whether this leads", m.leads.clone());
-        registry.register("configuration", "Version in force", m.configuration.clone());
+        registry.register(
+            "wait_seconds",
+            "Wait of runs",
+            m.placement_wait_seconds.clone(),
+        );
+        registry.register("leads", "Whether this leads", m.is_leader.clone());
+        registry.register(
+            "configuration",
+            "Version in force",
+            m.config_version.clone(),
+        );
         registry.register("open_jobs", "Jobs not ended", m.open_jobs.clone());
         registry.register("workers", "Workers known", m.workers.clone());
         registry.register("lines_dropped", "Lines dropped", m.lines_dropped.clone());
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -26,11 +26,11 @@
 
 /// Interval of pings on a link: a fifth of the time without traffic after which the link
 /// is closed.
-const PING_EVERY: Duration = Duration::from_millis(500);
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a leader that holds its lease sends heartbeats to all instances.
-const LEADING_EVERY: Duration = Duration::from_millis(300);
+const LEADER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// Capacity of each queue of inputs to an instance's event loop.
-const INBOX_MAX: usize = 16_384;
+const INBOX_MESSAGES_MAX: usize = 16_384;
 
 /// Settings of an instance of a cell with a single task plane.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     /// Sends an order to a worker and returns its reply.
     fn order(&self, order: Order) -> impl Future<Output = Reply> + Send;
     /// Sends a permission request to the permission service and returns its response.
-    fn ask(&self, question: Question) -> impl Future<Output = Permission> + Send;
+    fn ask(&self, request: Question) -> impl Future<Output = Permission> + Send;
 }
 
 /// Call from one instance to another, encoded with postcard.
@@ -89,7 +89,7 @@
 
 /// Query from this process with the channel for its answer.
 #[derive(Debug)]
-pub struct Asked {
+pub struct LocalQuery {
     /// Query to the leader.
     pub query: Query,
     /// Channel that receives the answer.
@@ -99,7 +99,7 @@
 /// Handle to the event loop of a running control instance.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    asked: mpsc::Sender<Asked>,
+    queries: mpsc::Sender<LocalQuery>,
     resign: Arc<tokio::sync::Notify>,
     mesh: Arc<Mesh>,
 }
@@ -120,7 +120,12 @@
     /// within `limit`, in which case the leader may have executed the query.
     pub async fn ask(&self, query: Query, limit: Duration) -> Answer {
         let (reply, answer) = oneshot::channel();
-        if self.asked.send(Asked { query, reply }).await.is_err() {
+        if self
+            .queries
+            .send(LocalQuery { query, reply })
+            .await
+            .is_err()
+        {
             return Answer::NotLeader;
         }
         match tokio::time::timeout(limit, answer).await {
--- a/src/cell/storage.rs
+++ b/src/cell/storage.rs
@@ -15,7 +15,7 @@
 
 /// Request to the disk thread.
 #[derive(Debug)]
-pub enum Job {
+pub enum Request {
     /// Write the replica's pending changes. `last` is the index and term of the last entry
     /// of its log at the time of the request.
     Store { ready: Box<Ready>, last: (u64, u64) },
@@ -25,7 +25,7 @@
 
 /// Completed request of the disk thread.
 #[derive(Debug)]
-pub enum Done {
+pub enum Completion {
     /// The changes are on disk; the fields are those of the request.
     Stored { ready: Box<Ready>, last: (u64, u64) },
     /// The compaction has ended, with or without success.
@@ -35,27 +35,27 @@
 /// Serves requests until the event loop has ended.
 pub fn run(
     mut wal: Wal,
-    jobs: &std::sync::mpsc::Receiver<Job>,
-    done: &mpsc::Sender<Done>,
+    requests: &std::sync::mpsc::Receiver<Request>,
+    completions: &mpsc::Sender<Completion>,
     journal: &Journal,
 ) {
-    while let Ok(job) = jobs.recv() {
-        let finished = match job {
-            Job::Store { ready, last } => {
+    while let Ok(request) = requests.recv() {
+        let completion = match request {
+            Request::Store { ready, last } => {
                 retry(journal, || wal.store(&ready));
-                Done::Stored { ready, last }
+                Completion::Stored { ready, last }
             }
-            Job::Compact(snapshot, entries) => {
+            Request::Compact(snapshot, entries) => {
                 if let Err(err) = wal.compact(&snapshot, &entries) {
                     // Not fatal: the log stays as it is until the next compaction.
                     journal.write(&Line::DiskRefused {
                         error: err.to_string(),
                     });
                 }
-                Done::Compacted
+                Completion::Compacted
             }
         };
-        if done.blocking_send(finished).is_err() {
+        if completions.blocking_send(completion).is_err() {
             return;
         }
     }
@@ -64,17 +64,17 @@
 // Retries a write until it succeeds, since no message may be sent before the data that
 // it depends on is stored. Logs the first failure and the recovery only.
 fn retry(journal: &Journal, mut store: impl FnMut() -> std::io::Result<()>) {
-    let mut refused = false;
+    let mut has_failed = false;
     while let Err(err) = store() {
-        if !refused {
+        if !has_failed {
             journal.write(&Line::DiskRefused {
                 error: err.to_string(),
             });
         }
-        refused = true;
+        has_failed = true;
         std::thread::sleep(RETRY_AFTER);
     }
-    if refused {
+    if has_failed {
         journal.write(&Line::DiskBack {});
     }
 }
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -16,7 +16,7 @@
 /// Time-out for the whole handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest frame accepted before the peer is authenticated, in bytes.
-const HANDSHAKE_FRAME_MAX: usize = 1_024;
+const HANDSHAKE_FRAME_MAX_BYTES: usize = 1_024;
 /// Length of a nonce, in bytes.
 const NONCE_BYTES: usize = 32;
 
@@ -81,14 +81,14 @@
 ///
 /// Fails on an I/O error or a malformed message, if the peer closes the connection, if the
 /// protocol versions differ or if the peer's proof does not match the secret.
-pub async fn shake<S: AsyncRead + AsyncWrite + Unpin>(
+pub async fn authenticate<S: AsyncRead + AsyncWrite + Unpin>(
     stream: S,
     side: Side,
     secret: &[u8],
     hello: &Hello,
 ) -> Result<(Hello, Framed<S, LengthDelimitedCodec>), Refusal> {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(HANDSHAKE_FRAME_MAX)
+        .max_frame_length(HANDSHAKE_FRAME_MAX_BYTES)
         .new_codec();
     let mut framed = Framed::new(stream, codec);
     let nonce: [u8; NONCE_BYTES] = rand::random();
@@ -113,30 +113,36 @@
     };
     send(&mut framed, &proof).await?;
     let proof: Proof = receive(&mut framed).await?;
-    mac_of(secret, side.other(), &theirs.nonce, &ours.nonce, &proof)?;
+    verify_proof(secret, side.other(), &theirs.nonce, &ours.nonce, &proof)?;
     let hello = Hello::decode(proof.hello).map_err(|_| Refusal::Malformed)?;
     framed.codec_mut().set_max_frame_length(FRAME_MAX);
     Ok((hello, framed))
 }
 
-fn mac_of(
+fn verify_proof(
     secret: &[u8],
     side: Side,
-    author: &[u8],
-    reader: &[u8],
+    sender_nonce: &[u8],
+    receiver_nonce: &[u8],
     proof: &Proof,
 ) -> Result<(), Refusal> {
     // `verify_slice` compares in constant time.
-    mac(secret, side, author, reader, &proof.hello)
+    mac(secret, side, sender_nonce, receiver_nonce, &proof.hello)
         .verify_slice(&proof.mac)
         .map_err(|_| Refusal::Secret)
 }
 
-fn mac(secret: &[u8], side: Side, author: &[u8], reader: &[u8], hello: &[u8]) -> Hmac<Sha256> {
+fn mac(
+    secret: &[u8],
+    side: Side,
+    sender_nonce: &[u8],
+    receiver_nonce: &[u8],
+    hello: &[u8],
+) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("any key length");
     mac.update(side.tag());
-    mac.update(author);
-    mac.update(reader);
+    mac.update(sender_nonce);
+    mac.update(receiver_nonce);
     mac.update(hello);
     mac
 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -17,7 +17,7 @@
 use crate::wire::{Body, Frame};
 
 /// Capacity of a link's queue of outgoing frames. When the queue is full, the link is closed.
-const OUTBOX_MAX: usize = 8_192;
+const OUTBOX_FRAMES_MAX: usize = 8_192;
 
 /// Event of the links, sent to the instance's control loop.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
 impl Link {
     /// Makes a link and the receiver of its outgoing messages.
     pub fn new(number: u64, token: CancellationToken) -> (Self, mpsc::Receiver<Body>) {
-        let (outbox, inbox) = mpsc::channel(OUTBOX_MAX);
+        let (outbox, inbox) = mpsc::channel(OUTBOX_FRAMES_MAX);
         let link = Self {
             number,
             outbox,
@@ -86,18 +86,18 @@
     framed: Framed<S, LengthDelimitedCodec>,
     peer: InstanceId,
     mut outbox: mpsc::Receiver<Body>,
-    notices: mpsc::Sender<Notice>,
+    events: mpsc::Sender<Notice>,
     counters: Arc<Counters>,
     token: CancellationToken,
 ) {
-    const FRAME_HEAD: u64 = 4;
+    const FRAME_HEADER_BYTES: u64 = 4;
     let (mut sink, mut stream) = framed.split::<Bytes>();
     let write = async {
         while let Some(body) = outbox.recv().await {
             let frame = Frame { body: Some(body) };
             let bytes = frame.encode_to_vec();
             counters.sent.fetch_add(1, Ordering::Relaxed);
-            let size = bytes.len() as u64 + FRAME_HEAD;
+            let size = bytes.len() as u64 + FRAME_HEADER_BYTES;
             counters.sent_bytes.fetch_add(size, Ordering::Relaxed);
             match timeout(PEER_SILENCE_MAX, sink.send(Bytes::from(bytes))).await {
                 Ok(Ok(())) => {}
@@ -108,13 +108,13 @@
     let read = async {
         while let Ok(Some(Ok(bytes))) = timeout(PEER_SILENCE_MAX, stream.next()).await {
             counters.received.fetch_add(1, Ordering::Relaxed);
-            let size = bytes.len() as u64 + FRAME_HEAD;
+            let size = bytes.len() as u64 + FRAME_HEADER_BYTES;
             counters.received_bytes.fetch_add(size, Ordering::Relaxed);
             // A malformed frame closes the link.
             let Some(body) = decode(bytes) else {
                 return;
             };
-            if notices.send(Notice::Message(peer, body)).await.is_err() {
+            if events.send(Notice::Message(peer, body)).await.is_err() {
                 return;
             }
         }
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-use super::handshake::{HANDSHAKE_TIMEOUT, Refusal, Side, shake};
+use super::handshake::{HANDSHAKE_TIMEOUT, Refusal, Side, authenticate};
 use super::link::{self, Counters, Link, Notice};
 use crate::core::control::{Identity, PEER_SILENCE_MAX, Peer};
 use crate::core::registry::InstanceId;
@@ -20,26 +20,26 @@
 
 /// Interval between attempts to connect to known addresses without a link; also the pause
 /// after a failed accept.
-const DIAL_EVERY: Duration = Duration::from_millis(400);
+const DIAL_INTERVAL: Duration = Duration::from_millis(400);
 /// Time-out for opening a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Largest number of concurrent handshakes on accepted connections; further connections are
 /// closed at once.
-const HANDSHAKES_MAX: usize = 64;
+const CONCURRENT_HANDSHAKES_MAX: usize = 64;
 /// Largest number of peer addresses to keep.
 const ADDRESSES_MAX: usize = 256;
 
 /// Links of one instance to its peers.
 #[derive(Debug)]
 pub struct Mesh {
-    me: Identity,
+    identity: Identity,
     secret: Vec<u8>,
     founded: AtomicBool,
     /// Known peer addresses.
     addresses: Mutex<HashSet<String>>,
     /// Addresses with a link, each with the number of its latest link.
     linked: Mutex<HashMap<String, u64>>,
-    notices: mpsc::Sender<Notice>,
+    events: mpsc::Sender<Notice>,
     next_link: AtomicU64,
     token: CancellationToken,
     /// Traffic over all links.
@@ -49,19 +49,19 @@
 impl Mesh {
     /// Makes the mesh of an instance. Links are opened and accepted once it runs.
     pub fn new(
-        me: Identity,
+        identity: Identity,
         secret: Vec<u8>,
         seeds: &[String],
-        notices: mpsc::Sender<Notice>,
+        events: mpsc::Sender<Notice>,
         token: CancellationToken,
     ) -> Arc<Self> {
         Arc::new(Self {
-            me,
+            identity,
             secret,
             founded: AtomicBool::new(false),
             addresses: Mutex::new(seeds.iter().cloned().collect()),
             linked: Mutex::new(HashMap::new()),
-            notices,
+            events,
             next_link: AtomicU64::new(1),
             token,
             counters: Arc::default(),
@@ -97,10 +97,10 @@
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let permits = Arc::new(Semaphore::new(HANDSHAKES_MAX));
+        let permits = Arc::new(Semaphore::new(CONCURRENT_HANDSHAKES_MAX));
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(DIAL_EVERY).await;
+                sleep(DIAL_INTERVAL).await;
                 continue;
             };
             let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
@@ -108,9 +108,9 @@
             };
             let mesh = Arc::clone(&self);
             tokio::spawn(async move {
-                let shaken = mesh.establish(stream, Side::Acceptor).await;
+                let handshake = mesh.handshake(stream, Side::Acceptor).await;
                 drop(permit);
-                mesh.carry(shaken, None).await;
+                mesh.run_link(handshake, None).await;
             });
         }
     }
@@ -118,7 +118,7 @@
     async fn dial(self: Arc<Self>) {
         let dialing: Arc<Mutex<HashSet<String>>> = Arc::default();
         loop {
-            for address in self.unlinked() {
+            for address in self.addresses_to_dial() {
                 if !dialing
                     .lock()
                     .expect("dialing lock")
@@ -129,60 +129,63 @@
                 let mesh = Arc::clone(&self);
                 let dialing = Arc::clone(&dialing);
                 tokio::spawn(async move {
-                    let shaken = mesh.connect(&address).await;
+                    let handshake = mesh.connect(&address).await;
                     dialing.lock().expect("dialing lock").remove(&address);
-                    mesh.carry(shaken, Some(address)).await;
+                    mesh.run_link(handshake, Some(address)).await;
                 });
             }
-            sleep(DIAL_EVERY).await;
+            sleep(DIAL_INTERVAL).await;
         }
     }
 
-    fn unlinked(&self) -> Vec<String> {
+    fn addresses_to_dial(&self) -> Vec<String> {
         let linked = self.linked.lock().expect("linked lock");
         let known = self.addresses.lock().expect("addresses lock");
         known
             .iter()
-            .filter(|a| **a != self.me.address && !linked.contains_key(*a))
+            .filter(|a| **a != self.identity.address && !linked.contains_key(*a))
             .cloned()
             .collect()
     }
 
-    async fn connect(&self, address: &str) -> Result<Shaken, Refusal> {
+    async fn connect(&self, address: &str) -> Result<Authenticated, Refusal> {
         let target: SocketAddr = address.parse().map_err(|_| Refusal::Malformed)?;
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(target))
             .await
             .map_err(|_| Refusal::Closed)?
             .map_err(|source| Refusal::Io { source })?;
-        self.establish(stream, Side::Dialer).await
+        self.handshake(stream, Side::Dialer).await
     }
 
-    async fn establish(&self, stream: TcpStream, side: Side) -> Result<Shaken, Refusal> {
-        tune(&stream).map_err(|source| Refusal::Io { source })?;
+    async fn handshake(&self, stream: TcpStream, side: Side) -> Result<Authenticated, Refusal> {
+        set_socket_options(&stream).map_err(|source| Refusal::Io { source })?;
         let hello = Hello {
-            id: self.me.id.0,
-            name: self.me.name.clone(),
-            zone: self.me.zone.clone(),
-            address: self.me.address.clone(),
-            replica: self.me.replica,
-            durable: self.me.durable,
+            id: self.identity.id.0,
+            name: self.identity.name.clone(),
+            zone: self.identity.zone.clone(),
+            address: self.identity.address.clone(),
+            replica: self.identity.replica,
+            durable: self.identity.durable,
             founded: self.founded.load(Ordering::Relaxed),
         };
-        timeout(HANDSHAKE_TIMEOUT, shake(stream, side, &self.secret, &hello))
-            .await
-            .map_err(|_| Refusal::Closed)?
+        timeout(
+            HANDSHAKE_TIMEOUT,
+            authenticate(stream, side, &self.secret, &hello),
+        )
+        .await
+        .map_err(|_| Refusal::Closed)?
     }
 
-    async fn carry(&self, shaken: Result<Shaken, Refusal>, dialed: Option<String>) {
-        let (hello, framed) = match shaken {
-            Ok(shaken) => shaken,
+    async fn run_link(&self, handshake: Result<Authenticated, Refusal>, dialed: Option<String>) {
+        let (hello, framed) = match handshake {
+            Ok(handshake) => handshake,
             Err(err @ (Refusal::Secret | Refusal::Version { .. } | Refusal::Malformed)) => {
-                let _ = self.notices.send(Notice::Refused(err.to_string())).await;
+                let _ = self.events.send(Notice::Refused(err.to_string())).await;
                 return;
             }
             Err(Refusal::Io { .. } | Refusal::Closed) => return,
         };
-        if hello.id == self.me.id.0 {
+        if hello.id == self.identity.id.0 {
             return;
         }
         let peer = peer_of(hello);
@@ -200,21 +203,21 @@
                 linked.insert(address.clone(), number);
             }
         }
-        if self.notices.send(Notice::Up(peer, link)).await.is_err() {
+        if self.events.send(Notice::Up(peer, link)).await.is_err() {
             return;
         }
         let counters = Arc::clone(&self.counters);
-        link::run(framed, id, outbox, self.notices.clone(), counters, token).await;
+        link::run(framed, id, outbox, self.events.clone(), counters, token).await;
         self.linked
             .lock()
             .expect("linked lock")
             .retain(|_, at| *at != number);
-        let _ = self.notices.send(Notice::Down(id, number)).await;
+        let _ = self.events.send(Notice::Down(id, number)).await;
     }
 }
 
 /// Peer's introduction and the stream, after a successful handshake.
-type Shaken = (
+type Authenticated = (
     Hello,
     tokio_util::codec::Framed<TcpStream, tokio_util::codec::LengthDelimitedCodec>,
 );
@@ -231,7 +234,7 @@
     }
 }
 
-fn tune(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     // Fails the connection if sent data stays unacknowledged, as on a path that silently
     // drops packets.
