--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -13,25 +13,25 @@
 use plantaincross::core::job::{Class, Id, Job, Size, Spec, State, Unreachable};
 use plantaincross::core::registry::{Command, Key, Outcome};
 use plantaincross::wire::Body;
-use simulation::{CALM, Cell, Disk, LENGTH, START, TICK};
+use simulation::{CALM_PHASE_US, Cell, Disk, FAULT_PHASE_US, START_US, TICK_US};
 
 /// Runs one schedule: a phase without faults, in which requests must be answered, two
 /// phases with faults, between which a key is withdrawn, and a recovery.
 fn schedule(seed: u64) -> Cell {
     let mut cell = Cell::new(seed);
-    cell.prepare();
-    cell.run_until(START + CALM, false);
+    cell.configure();
+    cell.run_until(START_US + CALM_PHASE_US, false);
     let calm = cell.completed;
     assert!(
         calm > 100,
         "seed {seed}: {calm} requests answered without faults\n{}",
         cell.describe()
     );
-    let middle = cell.time + LENGTH / 2;
+    let middle = cell.time + FAULT_PHASE_US / 2;
     cell.run_until(middle, true);
-    cell.withdraw();
-    cell.run_until(middle + LENGTH / 2, true);
-    cell.recover();
+    cell.withdraw_key();
+    cell.run_until(middle + FAULT_PHASE_US / 2, true);
+    cell.heal_and_check();
     cell
 }
 
@@ -61,9 +61,9 @@
 
 /// Makes a cell in which zone b is partitioned from the rest, without its links being
 /// closed. One key has zone b as its home zone, another one has no home zone.
-fn cut_off_zone() -> Cell {
+fn partition_zone() -> Cell {
     let mut cell = Cell::new(77);
-    cell.prepare();
+    cell.configure();
     let key = Key {
         team: "small".to_owned(),
         digest: [8; 32],
@@ -76,12 +76,12 @@
         key,
     };
     cell.ask(0, Target::Root, Query::Propose(give));
-    cell.run_until(START + CALM, false);
+    cell.run_until(START_US + CALM_PHASE_US, false);
     let (inside, outside): (Vec<usize>, Vec<usize>) = (0..5).partition(|at| at % 2 == 1);
     for &a in &inside {
         for &b in &outside {
-            cell.cut.insert((a, b));
-            cell.cut.insert((b, a));
+            cell.blocked.insert((a, b));
+            cell.blocked.insert((b, a));
         }
     }
     cell
@@ -90,10 +90,10 @@
 impl Cell {
     /// Returns whether instance `at` may accept keys without a home zone and keys of its
     /// own zone, by the last confirmations of the root group and of its zone.
-    fn vouched(&self, at: usize) -> (bool, bool) {
-        let host = &self.hosts[at];
-        let control = host.control.as_ref().expect("runs");
-        let now = host.clock(self.time);
+    fn verified(&self, at: usize) -> (bool, bool) {
+        let instance = &self.instances[at];
+        let control = instance.control.as_ref().expect("runs");
+        let now = instance.clock(self.time);
         (
             now < control.root_vouches_until(),
             now < control.zone_vouches_until(),
@@ -101,8 +101,8 @@
     }
 
     /// Returns whether instance `at` has key `id` as withdrawn.
-    fn withdrawn_at(&self, at: usize, id: &str) -> bool {
-        let control = self.hosts[at].control.as_ref().expect("runs");
+    fn has_withdrawn(&self, at: usize, id: &str) -> bool {
+        let control = self.instances[at].control.as_ref().expect("runs");
         control
             .registry()
             .keys
@@ -112,28 +112,28 @@
 }
 
 #[test]
-fn cut_off_zone_serves_on_and_takes_its_home_keys_only() {
-    let mut cell = cut_off_zone();
+fn partitioned_zone_keeps_serving_and_accepts_only_its_home_keys() {
+    let mut cell = partition_zone();
     cell.started_by.clear();
     cell.run_until(cell.time + 60_000_000, false);
     for at in 0..5 {
         let home = at % 2 == 1;
         assert!(cell.started_by[&at] > 0, "i{at} starts no requests");
-        assert_eq!(cell.vouched(at), (!home, true), "i{at}");
+        assert_eq!(cell.verified(at), (!home, true), "i{at}");
     }
 }
 
 #[test]
 fn withdrawal_of_a_home_key_waits_for_its_zone() {
-    let mut cell = cut_off_zone();
+    let mut cell = partition_zone();
     cell.run_until(cell.time + 5_000_000, false);
     let withdraw = Command::WithdrawKey {
         id: "home".to_owned(),
     };
     cell.ask(0, Target::Root, Query::Propose(withdraw));
     cell.run_until(cell.time + 2_000_000, false);
-    assert!((0..5).all(|at| cell.withdrawn_at(at, "home") == (at % 2 == 0)));
-    let at = cell.hosts[0]
+    assert!((0..5).all(|at| cell.has_withdrawn(at, "home") == (at % 2 == 0)));
+    let at = cell.instances[0]
         .control
         .as_ref()
         .expect("runs")
@@ -143,51 +143,51 @@
     let call = cell.ask(0, Target::Zone("b".to_owned()), Query::Applied(at));
     cell.run_until(cell.time + 4_000_000, false);
     assert!(matches!(cell.replies.get(&call), Some(Answer::Failed(_))));
-    cell.cut.clear();
+    cell.blocked.clear();
     cell.run_until(cell.time + 4_000_000, false);
     let call = cell.ask(0, Target::Zone("b".to_owned()), Query::Applied(at));
     cell.run_until(cell.time + 1_000_000, false);
     assert_eq!(cell.replies.get(&call), Some(&Answer::Done));
-    assert!((0..5).all(|at| cell.withdrawn_at(at, "home")));
+    assert!((0..5).all(|at| cell.has_withdrawn(at, "home")));
 }
 
 #[test]
-fn instance_that_was_away_for_an_hour_comes_back_without_reverting() {
-    let mut cell = cut_off_zone();
+fn instances_partitioned_for_an_hour_do_not_revert_the_state() {
+    let mut cell = partition_zone();
     cell.run_until(cell.time + 5_000_000, false);
-    let version = cell.hosts[0].version;
+    let version = cell.instances[0].version;
     // Time jumps by an hour and messages in flight are lost. Zone b runs again by then, so
     // its timers act, but its partition is healed only later.
     let hour = 3_600_000_000;
     for at in [1, 3] {
-        cell.hosts[at].paused_until = cell.time + hour - 10_000_000;
+        cell.instances[at].paused_until = cell.time + hour - 10_000_000;
     }
     cell.time += hour;
-    cell.network.clear();
+    cell.in_flight.clear();
     let withdraw = Command::WithdrawKey {
         id: "home".to_owned(),
     };
     cell.run_until(cell.time + 5_000_000, false);
     cell.ask(0, Target::Root, Query::Propose(withdraw));
-    cell.cut.clear();
+    cell.blocked.clear();
     cell.run_until(cell.time + 10_000_000, false);
-    assert!((0..5).all(|at| cell.withdrawn_at(at, "home")));
-    assert!(cell.hosts.iter().all(|h| h.version >= version));
-    cell.recover();
+    assert!((0..5).all(|at| cell.has_withdrawn(at, "home")));
+    assert!(cell.instances.iter().all(|h| h.version >= version));
+    cell.heal_and_check();
 }
 
 impl Cell {
     /// Returns the names of the voters as known to instance `at`.
     fn voters(&self, at: usize) -> Vec<String> {
-        let control = self.hosts[at].control.as_ref().expect("runs");
+        let control = self.instances[at].control.as_ref().expect("runs");
         let voters = control.replica().voters().iter();
         voters.map(|v| v.name.clone()).collect()
     }
 
     /// Pushes a configuration change through instance `at` and asserts that it is in force
     /// at all running instances.
-    fn push_limit(&mut self, at: usize, limit: u64) {
-        let control = self.hosts[at].control.as_ref().expect("runs");
+    fn push_team_limit(&mut self, at: usize, limit: u64) {
+        let control = self.instances[at].control.as_ref().expect("runs");
         let (version, base) = (
             control.registry().version,
             control.registry().config.clone(),
@@ -199,49 +199,49 @@
         self.run_until(self.time + 2_000_000, false);
         let pushed = Answer::Outcome(Outcome::Pushed(version + 1));
         assert_eq!(self.replies.get(&call), Some(&pushed));
-        for host in self.hosts.iter().filter(|h| h.control.is_some()) {
-            assert_eq!(host.version, version + 1, "{}", host.name);
+        for instance in self.instances.iter().filter(|h| h.control.is_some()) {
+            assert_eq!(instance.version, version + 1, "{}", instance.name);
         }
     }
 
     /// Crashes instance `at` for good.
-    fn lose(&mut self, at: usize) {
-        self.stays_down.insert(at);
-        self.kill(at);
+    fn crash_for_good(&mut self, at: usize) {
+        self.not_restarted.insert(at);
+        self.crash(at);
     }
 }
 
 #[test]
 fn spare_replaces_a_lost_voter_before_a_second_one_is_lost() {
     let mut cell = Cell::new(79);
-    cell.prepare();
+    cell.configure();
     cell.run_until(cell.time + 2_000_000, false);
     assert_eq!(cell.voters(0), ["i0", "i1", "i2"]);
-    cell.lose(2);
+    cell.crash_for_good(2);
     cell.run_until(cell.time + 10_000_000, false);
     assert_eq!(cell.voters(0), ["i0", "i1", "i3"]);
-    cell.push_limit(0, 5);
+    cell.push_team_limit(0, 5);
     // The second voter is lost right after the first one was replaced.
-    cell.lose(1);
+    cell.crash_for_good(1);
     cell.run_until(cell.time + 4_000_000, false);
-    cell.push_limit(0, 6);
-    cell.push_limit(3, 4);
+    cell.push_team_limit(0, 6);
+    cell.push_team_limit(3, 4);
 }
 
 #[test]
-fn voter_that_lost_its_disk_comes_back_as_another_replica() {
+fn voter_that_lost_its_disk_rejoins_as_another_replica() {
     let mut cell = Cell::new(80);
-    cell.prepare();
+    cell.configure();
     cell.run_until(cell.time + 2_000_000, false);
     let before = cell.voters(0);
-    cell.lose(2);
-    cell.hosts[2].disk = Disk::default();
-    cell.hosts[2].replica = 777;
-    cell.hosts[2].version = 0;
-    cell.stays_down.clear();
+    cell.crash_for_good(2);
+    cell.instances[2].disk = Disk::default();
+    cell.instances[2].replica = 777;
+    cell.instances[2].version = 0;
+    cell.not_restarted.clear();
     cell.start(2);
     cell.run_until(cell.time + 3_000_000, false);
-    let control = cell.hosts[2].control.as_ref().expect("runs");
+    let control = cell.instances[2].control.as_ref().expect("runs");
     assert!(
         !control.replica().is_voter(),
         "a replica that lost its stored vote must not vote"
@@ -249,14 +249,14 @@
     assert_eq!(cell.voters(0), before);
     cell.run_until(cell.time + 10_000_000, false);
     assert_eq!(cell.voters(0).len(), 3);
-    cell.push_limit(2, 5);
+    cell.push_team_limit(2, 5);
 }
 
 #[test]
-fn racing_operators_have_one_winner_and_resends_get_the_first_answer() {
+fn concurrent_pushes_have_one_winner_and_resends_get_the_same_answer() {
     let mut cell = Cell::new(78);
-    cell.prepare();
-    let control = cell.hosts[0].control.as_ref().expect("runs");
+    cell.configure();
+    let control = cell.instances[0].control.as_ref().expect("runs");
     let base = control.registry().config.clone();
     let push = |limit: u64| {
         let text = format!("[team big]\nshare = 1\nlimit = {limit}\n");
@@ -280,7 +280,7 @@
     assert_eq!(won.iter().filter(|won| **won).count(), 2, "{won:?}");
     let winner = won.iter().position(|won| *won).expect("one");
     assert!(won[winner ^ 1], "a resent push gets the same answer");
-    assert!(cell.hosts.iter().all(|h| h.version == 2));
+    assert!(cell.instances.iter().all(|h| h.version == 2));
 }
 
 #[test]
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn body_of_a_ping_is_small() {
+fn encoded_ping_is_small() {
     // Every instance sends two pings a second to every other one.
     let ping = plantaincross::wire::Ping {
         sent_at: u64::MAX >> 8,
@@ -354,33 +354,33 @@
 impl Cell {
     /// Returns the index of the instance that leads zone a.
     fn zone_leader(&self) -> Option<usize> {
-        self.hosts.iter().position(|host| {
-            let allocator = host.control.as_ref().and_then(|c| c.allocator());
-            host.zone == "a" && allocator.is_some()
+        self.instances.iter().position(|instance| {
+            let allocator = instance.control.as_ref().and_then(|c| c.allocator());
+            instance.zone == "a" && allocator.is_some()
         })
     }
 
     /// Delivers the next message that is due. Returns whether there was one.
     fn deliver_next(&mut self) -> bool {
-        let due = self.network.first_key_value();
+        let due = self.in_flight.first_key_value();
         if due.is_none_or(|(&(at, _), _)| at > self.time) {
             return false;
         }
-        let (_, (_, sender, to, input)) = self.network.pop_first().expect("first");
+        let (_, (_, sender, to, input)) = self.in_flight.pop_first().expect("first");
         self.deliver(sender, to, input);
         true
     }
 
     /// Sends a worker's poll that reports `ended` to the leader of zone a, after each
     /// message and each tick of an instance, until a leader accepts it.
-    fn report_until_taken(&mut self, ended: &[EndReport]) {
-        let end = self.time + LENGTH;
+    fn report_until_accepted(&mut self, ended: &[EndReport]) {
+        let end = self.time + FAULT_PHASE_US;
         let mut number = 1;
-        let mut ticks = (0..self.hosts.len()).cycle();
+        let mut ticks = (0..self.instances.len()).cycle();
         while self.time < end {
             if !self.deliver_next() {
                 let at = ticks.next().expect("cycles");
-                self.time += TICK / self.hosts.len() as u64;
+                self.time += TICK_US / self.instances.len() as u64;
                 self.step(at, Input::Tick);
             }
             let Some(leader) = self.zone_leader() else {
@@ -403,10 +403,10 @@
 /// A worker may report the end of a task to a leader that has just taken over and has not
 /// processed the jobs yet. The report must not be dropped.
 #[test]
-fn end_reported_at_once_after_a_takeover_is_not_forgotten() {
+fn task_end_reported_right_after_a_leader_change_is_not_lost() {
     let mut cell = Cell::new(81);
-    cell.prepare();
-    cell.run_until(START + CALM, false);
+    cell.configure();
+    cell.run_until(START_US + CALM_PHASE_US, false);
     let old = cell.zone_leader().expect("a leader");
     let job = Job {
         id: Id(0),
@@ -442,11 +442,11 @@
         })
         .collect();
     assert_eq!(ended.len(), 1);
-    cell.lose(old);
-    cell.report_until_taken(&ended);
+    cell.crash_for_good(old);
+    cell.report_until_accepted(&ended);
     cell.run_until(cell.time + 3_000_000, false);
     let at = cell.zone_leader().expect("a leader");
-    let control = cell.hosts[at].control.as_ref().expect("runs");
+    let control = cell.instances[at].control.as_ref().expect("runs");
     let job = control.registry().jobs.get(id).expect("known");
     assert_eq!(job.state, State::Done);
 }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -21,9 +21,9 @@
 }
 
 /// Sink whose writes block, as with a reader that has stalled.
-struct Full;
+struct StalledSink;
 
-impl Write for Full {
+impl Write for StalledSink {
     fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
         std::thread::sleep(Duration::from_secs(3_600));
         Ok(0)
@@ -34,17 +34,17 @@
     }
 }
 
-fn peer(n: u64) -> Line {
+fn peer_down(n: u64) -> Line {
     Line::PeerDown {
         peer: format!("i{n}"),
     }
 }
 
 #[test]
-fn a_line_is_an_object_with_time_instance_and_kind() {
+fn line_is_an_object_with_time_instance_and_event() {
     let sink = Sink::default();
     let (journal, guard) = Journal::new("one", sink.clone());
-    journal.write(&peer(7));
+    journal.write(&peer_down(7));
     drop(guard);
     let bytes = sink.0.lock().expect("sink lock").clone();
     let value: serde_json::Value = serde_json::from_slice(&bytes).expect("one JSON line");
@@ -55,42 +55,42 @@
 }
 
 #[test]
-fn a_kind_above_its_budget_is_counted_and_told() {
+fn lines_above_the_rate_limit_are_suppressed_and_counted() {
     let sink = Sink::default();
     let (journal, guard) = Journal::new("one", sink.clone());
     let sent = 10 * u64::from(LINES_PER_SECOND);
     for n in 0..sent {
-        journal.write(&peer(n));
+        journal.write(&peer_down(n));
     }
     std::thread::sleep(Duration::from_millis(1_100));
-    journal.write(&peer(sent));
+    journal.write(&peer_down(sent));
     drop(guard);
     let bytes = sink.0.lock().expect("sink lock").clone();
     let text = String::from_utf8(bytes).expect("text");
-    let mut shown = 0;
-    let mut left_out = 0;
+    let mut written = 0;
+    let mut suppressed = 0;
     for line in text.lines() {
         let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
         match value["event"].as_str() {
-            Some("left_out") => left_out += value["count"].as_u64().expect("a count"),
-            _ => shown += 1,
+            Some("left_out") => suppressed += value["count"].as_u64().expect("a count"),
+            _ => written += 1,
         }
     }
     assert_eq!(
-        shown + left_out,
+        written + suppressed,
         sent + 1,
         "every line is either written or counted as suppressed"
     );
     // The lines may spread over up to three windows of one second.
-    assert!(shown <= 3 * u64::from(LINES_PER_SECOND));
+    assert!(written <= 3 * u64::from(LINES_PER_SECOND));
 }
 
 #[test]
-fn a_reader_that_stands_still_blocks_nobody() {
-    let (journal, guard) = Journal::new("one", Full);
+fn stalled_reader_does_not_block_writers() {
+    let (journal, guard) = Journal::new("one", StalledSink);
     let began = Instant::now();
     for n in 0..100_000 {
-        journal.write(&peer(n));
+        journal.write(&peer_down(n));
     }
     assert!(began.elapsed() < Duration::from_secs(10));
     // Dropping the guard would block on the stalled sink.
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -17,28 +17,28 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Interval of the instances' ticks.
-pub const TICK: u64 = 25_000;
+pub const TICK_US: u64 = 25_000;
 /// Time at which the simulation starts.
-pub const START: u64 = 10_000_000;
+pub const START_US: u64 = 10_000_000;
 /// Time after the start until which a schedule injects no faults.
-pub const CALM: u64 = 12_000_000;
+pub const CALM_PHASE_US: u64 = 12_000_000;
 /// Duration of the faults in a schedule.
-pub const LENGTH: u64 = 30_000_000;
+pub const FAULT_PHASE_US: u64 = 30_000_000;
 /// Run limit of the service in the configuration.
-pub const RUN_LIMIT: u64 = 2_000_000;
+pub const RUN_LIMIT_US: u64 = 2_000_000;
 /// Freshness bound for keys in the configuration.
-pub const FRESHNESS: u64 = 1_500_000;
+pub const FRESHNESS_US: u64 = 1_500_000;
 pub const ZONES: [&str; 2] = ["a", "b"];
 /// Slots of each upstream.
-pub const SLOTS: u32 = 4;
+pub const SLOTS_PER_UPSTREAM: u32 = 4;
 /// Limit of each team, in units.
-pub const LIMIT: u64 = 7;
+pub const TEAM_LIMIT_UNITS: u64 = 7;
 
 /// Request that runs on an upstream. It runs on if its sender crashes.
-pub struct Running {
+pub struct RunningRequest {
     pub until: u64,
     pub sender: InstanceId,
-    pub host: usize,
+    pub instance: usize,
     pub assignment: Assignment,
     pub upstream: String,
     pub team: String,
@@ -51,7 +51,7 @@
 }
 
 /// Simulated instance.
-pub struct Host {
+pub struct Instance {
     pub name: String,
     pub zone: String,
     pub id: InstanceId,
@@ -70,7 +70,7 @@
     pub was_leading: bool,
 }
 
-impl Host {
+impl Instance {
     /// Returns the instance's clock at the simulated time.
     pub fn clock(&self, time: u64) -> Moment {
         let drift = time as i64 / 1_000 * self.skew;
@@ -87,26 +87,26 @@
     pub seed: u64,
     pub rng: ChaCha8Rng,
     pub time: u64,
-    pub hosts: Vec<Host>,
+    pub instances: Vec<Instance>,
     /// Messages in flight by time of arrival and sequence number: index of the sending
     /// instance, its id, index of the receiver and the message.
-    pub network: BTreeMap<(u64, u64), (usize, InstanceId, usize, Input)>,
+    pub in_flight: BTreeMap<(u64, u64), (usize, InstanceId, usize, Input)>,
     /// Latest arrival on each link, which keeps messages in order.
-    pub link_busy: BTreeMap<(usize, usize), u64>,
+    pub latest_arrivals: BTreeMap<(usize, usize), u64>,
     pub sent: u64,
     /// Pairs of sender and receiver between which messages are lost.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub running: Vec<Running>,
+    pub blocked: BTreeSet<(usize, usize)>,
+    pub running: Vec<RunningRequest>,
     pub next_call: u64,
     /// Upstream by the call of its heartbeat that awaits an answer.
-    pub beats: BTreeMap<u64, usize>,
+    pub pending_heartbeats: BTreeMap<u64, usize>,
     pub replies: BTreeMap<u64, Answer>,
     /// Instances that are not restarted.
-    pub stays_down: BTreeSet<usize>,
+    pub not_restarted: BTreeSet<usize>,
     /// Latest answer to the heartbeats of each upstream.
     pub seen: BTreeMap<usize, Seen>,
     /// Time at which the withdrawal of key `k` was confirmed.
-    pub withdrawn: Option<u64>,
+    pub key_withdrawn_at: Option<u64>,
     pub withdraw_call: Option<u64>,
     pub completed: u64,
     /// Number of requests started by each instance.
@@ -116,8 +116,8 @@
 impl Cell {
     pub fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let hosts = (0..5)
-            .map(|at| Host {
+        let instances = (0..5)
+            .map(|at| Instance {
                 name: format!("i{at}"),
                 zone: ZONES[at % 2].to_owned(),
                 id: InstanceId(0),
@@ -136,24 +136,24 @@
         let mut cell = Self {
             seed,
             rng,
-            time: START,
-            hosts,
-            network: BTreeMap::new(),
-            link_busy: BTreeMap::new(),
+            time: START_US,
+            instances,
+            in_flight: BTreeMap::new(),
+            latest_arrivals: BTreeMap::new(),
             sent: 0,
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             running: Vec::new(),
             next_call: 0,
-            beats: BTreeMap::new(),
+            pending_heartbeats: BTreeMap::new(),
             replies: BTreeMap::new(),
-            stays_down: BTreeSet::new(),
+            not_restarted: BTreeSet::new(),
             seen: BTreeMap::new(),
-            withdrawn: None,
+            key_withdrawn_at: None,
             withdraw_call: None,
             completed: 0,
             started_by: BTreeMap::new(),
         };
-        for at in 0..cell.hosts.len() {
+        for at in 0..cell.instances.len() {
             cell.start(at);
         }
         cell
@@ -163,68 +163,72 @@
     pub fn start(&mut self, at: usize) {
         let id = InstanceId(self.rng.random::<u64>().max(1));
         let seed = self.rng.random::<u64>() >> 8;
-        let host = &mut self.hosts[at];
-        host.id = id;
-        host.gate = Arc::default();
-        let replica = if host.durable { host.replica } else { id.0 };
+        let instance = &mut self.instances[at];
+        instance.id = id;
+        instance.gate = Arc::default();
+        let replica = if instance.durable {
+            instance.replica
+        } else {
+            id.0
+        };
         let identity = Identity {
             id,
-            name: host.name.clone(),
-            zone: host.zone.clone(),
-            address: host.name.clone(),
+            name: instance.name.clone(),
+            zone: instance.zone.clone(),
+            address: instance.name.clone(),
             replica,
-            durable: host.durable,
+            durable: instance.durable,
             founders: ["i0", "i1", "i2"].map(str::to_owned).to_vec(),
             replace_after: Duration::from_secs(5),
         };
-        let now = host.clock(self.time);
-        let stored = host.disk.stored.clone();
-        let gate = Arc::clone(&host.gate);
-        host.control = Some(Control::new(identity, gate, stored, now, seed));
+        let now = instance.clock(self.time);
+        let stored = instance.disk.stored.clone();
+        let gate = Arc::clone(&instance.gate);
+        instance.control = Some(Control::new(identity, gate, stored, now, seed));
     }
 
     /// Crashes an instance.
-    pub fn kill(&mut self, at: usize) {
-        let id = self.hosts[at].id;
-        self.hosts[at].control = None;
+    pub fn crash(&mut self, at: usize) {
+        let id = self.instances[at].id;
+        self.instances[at].control = None;
         // Peers that it can reach see their connections reset.
-        for other in 0..self.hosts.len() {
-            if other != at && !self.cut.contains(&(at, other)) {
-                self.post(at, id, other, Input::PeerDown(id));
+        for other in 0..self.instances.len() {
+            if other != at && !self.blocked.contains(&(at, other)) {
+                self.send(at, id, other, Input::PeerDown(id));
             }
         }
     }
 
     /// Sends a message with a random delay, in order with earlier ones on the link.
-    pub fn post(&mut self, from: usize, sender: InstanceId, to: usize, input: Input) {
+    pub fn send(&mut self, from: usize, sender: InstanceId, to: usize, input: Input) {
         let delay = if self.rng.random_ratio(1, 50) {
             self.rng.random_range(1_000..300_000)
         } else {
             self.rng.random_range(300..5_000)
         };
-        let busy = self.link_busy.entry((from, to)).or_default();
+        let busy = self.latest_arrivals.entry((from, to)).or_default();
         *busy = (self.time + delay).max(*busy + 1);
         self.sent += 1;
-        self.network
+        self.in_flight
             .insert((*busy, self.sent), (from, sender, to, input));
     }
 
     /// Passes an input to an instance and processes its output.
     pub fn step(&mut self, at: usize, input: Input) {
-        let now = self.hosts[at].clock(self.time);
-        let Some(control) = &mut self.hosts[at].control else {
+        let now = self.instances[at].clock(self.time);
+        let Some(control) = &mut self.instances[at].control else {
             return;
         };
         let effects = control.step(now, input);
-        self.carry_out(at, effects);
-        self.settle(at);
+        self.execute(at, effects);
+        self.process_ready(at);
     }
 
     /// Stores and acknowledges the replica's output until there is none.
-    pub fn settle(&mut self, at: usize) {
+    pub fn process_ready(&mut self, at: usize) {
         loop {
-            let now = self.hosts[at].clock(self.time);
-            let Some(control) = &mut self.hosts[at].control else {
+            let now = self.instances[at].clock(self.time);
+            let Some(control) = &mut self.instances[at].control else {
                 return;
             };
             let ready = control.take_ready(now);
@@ -237,7 +241,7 @@
             if idle {
                 break;
             }
-            let stored = &mut self.hosts[at].disk.stored;
+            let stored = &mut self.instances[at].disk.stored;
             if let Some(hard) = ready.hard {
                 stored.hard = hard;
             }
@@ -249,43 +253,45 @@
                 stored.entries.retain(|e| e.index < from);
             }
             stored.entries.extend(ready.entries.iter().cloned());
-            let control = self.hosts[at].control.as_mut().expect("running");
+            let control = self.instances[at].control.as_mut().expect("running");
             let effects = control.stored(now, ready);
-            self.carry_out(at, effects);
+            self.execute(at, effects);
         }
-        self.pump(at);
+        self.dispatch(at);
     }
 
-    pub fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
-        let sender = self.hosts[at].id;
+    pub fn execute(&mut self, at: usize, effects: Vec<Effect>) {
+        let sender = self.instances[at].id;
         for effect in effects {
             match effect {
                 Effect::Send(to, body) => {
-                    let Some(to) = self.hosts.iter().position(|h| h.id == to) else {
+                    let Some(to) = self.instances.iter().position(|h| h.id == to) else {
                         continue;
                     };
-                    if !self.cut.contains(&(at, to)) {
-                        self.post(at, sender, to, Input::Message(sender, body));
+                    if !self.blocked.contains(&(at, to)) {
+                        self.send(at, sender, to, Input::Message(sender, body));
                     }
                 }
-                Effect::Reply(call, answer) => self.take_reply(call, &answer),
+                Effect::Reply(call, answer) => self.handle_reply(call, &answer),
                 Effect::Event(_) | Effect::Publish => {}
             }
         }
     }
 
-    pub fn take_reply(&mut self, call: u64, answer: &Answer) {
+    pub fn handle_reply(&mut self, call: u64, answer: &Answer) {
         self.replies.insert(call, answer.clone());
         while self.replies.len() > 1_000 {
             self.replies.pop_first();
         }
-        if let (Some(upstream), Answer::Heard(seen)) = (self.beats.remove(&call), answer) {
+        if let (Some(upstream), Answer::Heard(seen)) =
+            (self.pending_heartbeats.remove(&call), answer)
+        {
             self.seen.insert(upstream, *seen);
         }
         if self.withdraw_call == Some(call)
             && let Answer::Outcome(Outcome::Withdrawn { .. }) = answer
         {
-            self.withdrawn.get_or_insert(self.time);
+            self.key_withdrawn_at.get_or_insert(self.time);
         }
     }
 
@@ -302,13 +308,13 @@
     }
 
     // Sends the requests that the gate dispatches, as the traffic threads do.
-    pub fn pump(&mut self, at: usize) {
-        if !self.hosts[at].runs(self.time) {
+    pub fn dispatch(&mut self, at: usize) {
+        if !self.instances[at].runs(self.time) {
             return;
         }
-        let now = self.hosts[at].clock(self.time);
+        let now = self.instances[at].clock(self.time);
         let started = {
-            let mut gate = self.hosts[at].gate.lock().expect("gate");
+            let mut gate = self.instances[at].gate.lock().expect("gate");
             gate.expire(now);
             gate.pump(now)
         };
@@ -319,7 +325,7 @@
 
     pub fn send_request(&mut self, at: usize, assignment: Assignment) {
         let (upstream, team) = {
-            let gate = self.hosts[at].gate.lock().expect("gate");
+            let gate = self.instances[at].gate.lock().expect("gate");
             let upstream = gate.upstream(assignment.upstream).expect("assigned");
             (
                 upstream.announcement.name.clone(),
@@ -329,14 +335,14 @@
         *self.started_by.entry(at).or_default() += 1;
         let length = self.rng.random_range(5_000..200_000);
         let length = if self.rng.random_ratio(1, 50) {
-            RUN_LIMIT - 50_000
+            RUN_LIMIT_US - 50_000
         } else {
             length
         };
-        self.running.push(Running {
+        self.running.push(RunningRequest {
             until: self.time + length,
-            sender: self.hosts[at].id,
-            host: at,
+            sender: self.instances[at].id,
+            instance: at,
             assignment,
             upstream,
             team,
@@ -344,14 +350,14 @@
     }
 
     pub fn submit(&mut self, at: usize) {
-        let now = self.hosts[at].clock(self.time);
+        let now = self.instances[at].clock(self.time);
         let team = if self.rng.random_ratio(1, 3) {
             "big"
         } else {
             "small"
         };
         let admission = {
-            let mut gate = self.hosts[at].gate.lock().expect("gate");
+            let mut gate = self.instances[at].gate.lock().expect("gate");
             let (Some(team), Some(service)) = (gate.team(team), gate.service("orders")) else {
                 return;
             };
@@ -372,19 +378,21 @@
 
     /// Ends requests whose time has come and releases them at the gate of their sender,
     /// unless it crashed.
-    pub fn end_requests(&mut self) {
+    pub fn finish_requests(&mut self) {
         let time = self.time;
-        let (done, running): (Vec<Running>, Vec<Running>) = std::mem::take(&mut self.running)
-            .into_iter()
-            .partition(|r| r.until <= time);
+        let (done, running): (Vec<RunningRequest>, Vec<RunningRequest>) =
+            std::mem::take(&mut self.running)
+                .into_iter()
+                .partition(|r| r.until <= time);
         self.running = running;
         for run in done {
-            let host = &self.hosts[run.host];
-            if host.id != run.sender || host.control.is_none() {
+            let instance = &self.instances[run.instance];
+            if instance.id != run.sender || instance.control.is_none() {
                 continue;
             }
-            let now = host.clock(time);
-            host.gate
+            let now = instance.clock(time);
+            instance
+                .gate
                 .lock()
                 .expect("gate")
                 .finish(now, run.assignment, Exchange::Answered);
@@ -393,9 +401,9 @@
     }
 
     /// Sends an upstream's heartbeat to a random instance.
-    pub fn announce(&mut self, upstream: usize) {
-        let at = self.rng.random_range(0..self.hosts.len());
-        if !self.hosts[at].runs(self.time) {
+    pub fn send_heartbeat(&mut self, upstream: usize) {
+        let at = self.rng.random_range(0..self.instances.len());
+        if !self.instances[at].runs(self.time) {
             return;
         }
         let name = format!("u{upstream}");
@@ -404,38 +412,38 @@
             *running.entry(run.sender).or_default() += 1;
         }
         let zone = ZONES[upstream % 2].to_owned();
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             announcement: Announcement {
                 name,
                 incarnation: 1,
                 service: "orders".to_owned(),
                 zone: zone.clone(),
                 address: ([127, 0, 0, 1], 9_000 + upstream as u16).into(),
-                slots: SLOTS,
+                slots: SLOTS_PER_UPSTREAM,
                 connections: 64,
             },
             leaving: false,
             running: Some(running),
             seen: self.seen.get(&upstream).copied(),
         };
-        self.beats.insert(self.next_call + 1, upstream);
-        self.ask(at, Target::Zone(zone), Query::Announce(beat));
+        self.pending_heartbeats.insert(self.next_call + 1, upstream);
+        self.ask(at, Target::Zone(zone), Query::Announce(heartbeat));
     }
 
     /// Opens links between running instances that are not partitioned from each other.
-    pub fn link_up(&mut self) {
-        for a in 0..self.hosts.len() {
-            for b in 0..self.hosts.len() {
-                let open = !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a));
-                if a == b || !open || !self.hosts[a].runs(self.time) {
+    pub fn open_links(&mut self) {
+        for a in 0..self.instances.len() {
+            for b in 0..self.instances.len() {
+                let open = !self.blocked.contains(&(a, b)) && !self.blocked.contains(&(b, a));
+                if a == b || !open || !self.instances[a].runs(self.time) {
                     continue;
                 }
-                let peer = peer_of(&self.hosts[b]);
-                let known = self.hosts[a]
+                let peer = peer_of(&self.instances[b]);
+                let known = self.instances[a]
                     .control
                     .as_ref()
                     .is_some_and(|c| c.knows(peer.id));
-                if !known && self.hosts[b].runs(self.time) {
+                if !known && self.instances[b].runs(self.time) {
                     self.step(a, Input::PeerUp(peer));
                 }
             }
@@ -443,32 +451,32 @@
     }
 
     /// Runs the simulation up to `end`, with random faults if `disturbed`.
-    pub fn run_until(&mut self, end: u64, disturbed: bool) {
+    pub fn run_until(&mut self, end: u64, with_faults: bool) {
         let mut next_tick = self.time;
         let mut ticks = 0u64;
         while self.time < end {
-            while let Some((&(at, number), _)) = self.network.first_key_value() {
+            while let Some((&(at, number), _)) = self.in_flight.first_key_value() {
                 if at > next_tick {
                     break;
                 }
-                let (_, sender, to, input) = self.network.remove(&(at, number)).expect("first");
+                let (_, sender, to, input) = self.in_flight.remove(&(at, number)).expect("first");
                 self.time = self.time.max(at);
-                self.end_requests();
+                self.finish_requests();
                 self.deliver(sender, to, input);
                 self.check();
             }
             self.time = next_tick;
-            next_tick += TICK;
+            next_tick += TICK_US;
             ticks += 1;
-            self.end_requests();
-            for at in 0..self.hosts.len() {
-                if self.hosts[at].runs(self.time) {
+            self.finish_requests();
+            for at in 0..self.instances.len() {
+                if self.instances[at].runs(self.time) {
                     self.step(at, Input::Tick);
                     for _ in 0..3 {
                         self.submit(at);
                     }
-                } else if self.hosts[at].control.is_none()
-                    && !self.stays_down.contains(&at)
+                } else if self.instances[at].control.is_none()
+                    && !self.not_restarted.contains(&at)
                     && ticks.is_multiple_of(80)
                 {
                     self.start(at);
@@ -476,14 +484,14 @@
             }
             if ticks.is_multiple_of(16) {
                 for upstream in 0..4 {
-                    self.announce(upstream);
+                    self.send_heartbeat(upstream);
                 }
             }
             if ticks.is_multiple_of(20) {
-                self.link_up();
+                self.open_links();
             }
-            if disturbed {
-                self.disturb();
+            if with_faults {
+                self.inject_fault();
             }
             self.check();
         }
@@ -491,10 +499,10 @@
 
     /// Delivers a message, or delays it while its receiver is paused.
     pub fn deliver(&mut self, sender: InstanceId, to: usize, input: Input) {
-        if self.hosts[to].paused_until > self.time {
+        if self.instances[to].paused_until > self.time {
             self.sent += 1;
-            let later = self.hosts[to].paused_until + self.sent % 100;
-            self.network
+            let later = self.instances[to].paused_until + self.sent % 100;
+            self.in_flight
                 .insert((later, self.sent), (to, sender, to, input));
             return;
         }
@@ -502,28 +510,28 @@
     }
 
     /// Injects or heals a random fault, with a probability of about 2 % a tick.
-    pub fn disturb(&mut self) {
-        let count = self.hosts.len();
+    pub fn inject_fault(&mut self) {
+        let count = self.instances.len();
         match self.rng.random_range(0..400) {
             0 => {
                 let at = self.rng.random_range(0..count);
-                self.kill(at);
+                self.crash(at);
             }
             1 => {
                 let at = self.rng.random_range(0..count);
                 let length = self.rng.random_range(300_000..5_000_000);
-                self.hosts[at].paused_until = self.time + length;
+                self.instances[at].paused_until = self.time + length;
             }
-            2 => self.cut_off(),
-            3..7 => self.cut.clear(),
+            2 => self.partition(),
+            3..7 => self.blocked.clear(),
             _ => {}
         }
     }
 
     // Partitions one instance, one zone or a random set of instances from the rest, at times
     // in one direction only. Links are not closed.
-    pub fn cut_off(&mut self) {
-        let count = self.hosts.len();
+    pub fn partition(&mut self) {
+        let count = self.instances.len();
         let one = self.rng.random_range(0..count);
         let side: Vec<usize> = match self.rng.random_range(0..3) {
             0 => vec![one],
@@ -533,9 +541,9 @@
         let one_way = self.rng.random_ratio(1, 4);
         for &a in &side {
             for b in (0..count).filter(|b| !side.contains(b)) {
-                self.cut.insert((a, b));
+                self.blocked.insert((a, b));
                 if !one_way {
-                    self.cut.insert((b, a));
+                    self.blocked.insert((b, a));
                 }
             }
         }
@@ -559,8 +567,8 @@
         }
         for (upstream, count) in slots {
             assert!(
-                count <= SLOTS,
-                "seed {seed} at {}: {upstream} runs {count} requests in {SLOTS} slots\n{}\n{}",
+                count <= SLOTS_PER_UPSTREAM,
+                "seed {seed} at {}: {upstream} runs {count} requests in {SLOTS_PER_UPSTREAM} slots\n{}\n{}",
                 self.time,
                 self.describe_upstream(upstream),
                 self.describe()
@@ -568,8 +576,8 @@
         }
         for (team, count) in units {
             assert!(
-                count <= LIMIT,
-                "seed {seed} at {}: team {team} runs {count} units, limit {LIMIT}",
+                count <= TEAM_LIMIT_UNITS,
+                "seed {seed} at {}: team {team} runs {count} units, limit {TEAM_LIMIT_UNITS}",
                 self.time
             );
         }
@@ -579,7 +587,7 @@
     pub fn check_leaders(&mut self) {
         for zone in ZONES {
             let acting: Vec<&str> = self
-                .hosts
+                .instances
                 .iter()
                 .filter(|h| h.zone == zone)
                 .filter(|h| {
@@ -596,8 +604,8 @@
                 self.time
             );
         }
-        for host in &mut self.hosts {
-            host.was_leading |= host
+        for instance in &mut self.instances {
+            instance.was_leading |= instance
                 .control
                 .as_ref()
                 .is_some_and(|c| c.participant().is_named());
@@ -607,22 +615,22 @@
     /// Asserts that the configuration version of an instance never decreases.
     pub fn check_versions(&mut self) {
         let seed = self.seed;
-        for host in &mut self.hosts {
-            let Some(control) = &host.control else {
+        for instance in &mut self.instances {
+            let Some(control) = &instance.control else {
                 // An instance without a disk restarts from an empty state.
-                if !host.durable {
-                    host.version = 0;
+                if !instance.durable {
+                    instance.version = 0;
                 }
                 continue;
             };
             let version = control.registry().version;
             if version > 0 {
                 assert!(
-                    version >= host.version,
+                    version >= instance.version,
                     "seed {seed}: configuration version of {} decreased",
-                    host.name
+                    instance.name
                 );
-                host.version = version;
+                instance.version = version;
             }
         }
     }
@@ -630,40 +638,40 @@
     /// Asserts that a withdrawn key is refused everywhere once the freshness bound, with 1 %
     /// allowed for clock drift, has passed.
     pub fn check_key(&self) {
-        let Some(at) = self.withdrawn else {
+        let Some(at) = self.key_withdrawn_at else {
             return;
         };
-        for host in &self.hosts {
-            let Some(control) = &host.control else {
+        for instance in &self.instances {
+            let Some(control) = &instance.control else {
                 continue;
             };
-            let now = host.clock(self.time);
+            let now = instance.clock(self.time);
             let fresh = control
                 .fresh_as_of()
-                .is_some_and(|as_of| now.0 < as_of.0 + FRESHNESS);
+                .is_some_and(|as_of| now.0 < as_of.0 + FRESHNESS_US);
             let dead = control.tombstones().contains("k")
                 || control
                     .registry()
                     .keys
                     .get("k")
                     .is_some_and(|k| k.withdrawn);
-            let bound = FRESHNESS + FRESHNESS / 100;
+            let bound = FRESHNESS_US + FRESHNESS_US / 100;
             assert!(
                 dead || !fresh || self.time < at + bound,
                 "seed {}: {} accepts a key that was withdrawn {} us ago",
                 self.seed,
-                host.name,
+                instance.name,
                 self.time - at
             );
         }
     }
 
     /// Pushes the configuration and adds key `k`.
-    pub fn prepare(&mut self) {
-        self.run_until(START + 3_000_000, false);
+    pub fn configure(&mut self) {
+        self.run_until(START_US + 3_000_000, false);
         let text = format!(
-            "[cell]\nfreshness = 1500ms\n[team big]\nshare = 3\nlimit = {LIMIT}\n\
-             [team small]\nshare = 1\nlimit = {LIMIT}\n[service orders]\nrun-limit = 2s\n"
+            "[cell]\nfreshness = 1500ms\n[team big]\nshare = 3\nlimit = {TEAM_LIMIT_UNITS}\n\
+             [team small]\nshare = 1\nlimit = {TEAM_LIMIT_UNITS}\n[service orders]\nrun-limit = 2s\n"
         );
         let source = Source {
             name: "a.ini".to_owned(),
@@ -688,29 +696,29 @@
     }
 
     /// Withdraws key `k` through a random instance.
-    pub fn withdraw(&mut self) {
-        let at = self.rng.random_range(0..self.hosts.len());
+    pub fn withdraw_key(&mut self) {
+        let at = self.rng.random_range(0..self.instances.len());
         let query = Query::Propose(Command::WithdrawKey { id: "k".to_owned() });
         let call = self.ask(at, Target::Root, query);
         self.withdraw_call = Some(call);
     }
 
     /// Heals all faults and asserts that every instance serves requests again.
-    pub fn recover(&mut self) {
-        self.cut.clear();
-        for host in &mut self.hosts {
-            host.paused_until = 0;
+    pub fn heal_and_check(&mut self) {
+        self.blocked.clear();
+        for instance in &mut self.instances {
+            instance.paused_until = 0;
         }
         self.run_until(self.time + 25_000_000, false);
         self.started_by.clear();
         self.run_until(self.time + 4_000_000, false);
-        for at in 0..self.hosts.len() {
+        for at in 0..self.instances.len() {
             let started = self.started_by.get(&at).copied().unwrap_or(0);
             assert!(
                 started > 0,
                 "seed {}: {} starts no requests after all faults were healed: {}",
                 self.seed,
-                self.hosts[at].name,
+                self.instances[at].name,
                 self.describe()
             );
         }
@@ -719,11 +727,11 @@
     pub fn describe_upstream(&self, upstream: &str) -> String {
         let mut lines = Vec::new();
         for run in self.running.iter().filter(|r| r.upstream == upstream) {
-            let host = &self.hosts[run.host];
+            let instance = &self.instances[run.instance];
             lines.push(format!(
                 "run of {} ({}) until {}",
-                host.name,
-                if host.id == run.sender {
+                instance.name,
+                if instance.id == run.sender {
                     "same process"
                 } else {
                     "dead process"
@@ -731,17 +739,20 @@
                 run.until
             ));
         }
-        for host in &self.hosts {
-            let Some(control) = &host.control else {
+        for instance in &self.instances {
+            let Some(control) = &instance.control else {
                 continue;
             };
-            let gate = host.gate.lock().expect("gate");
+            let gate = instance.gate.lock().expect("gate");
             for u in gate.upstreams().filter(|u| u.announcement.name == upstream) {
-                lines.push(format!("{} ({}): {:?}", host.name, host.id, u.holding));
+                lines.push(format!(
+                    "{} ({}): {:?}",
+                    instance.name, instance.id, u.holding
+                ));
             }
             for h in control.allocator().into_iter().flat_map(|o| o.hosts()) {
                 if h.announcement().name == upstream {
-                    lines.push(format!("allocator {}: {:?}", host.name, h));
+                    lines.push(format!("allocator {}: {:?}", instance.name, h));
                 }
             }
         }
@@ -750,7 +761,7 @@
 
     pub fn describe(&self) -> String {
         let lines: Vec<String> = self
-            .hosts
+            .instances
             .iter()
             .map(|h| {
                 let Some(control) = &h.control else {
@@ -780,19 +791,19 @@
     }
 }
 
-pub fn peer_of(host: &Host) -> Peer {
+pub fn peer_of(instance: &Instance) -> Peer {
     Peer {
-        id: host.id,
-        name: host.name.clone(),
-        zone: host.zone.clone(),
-        address: host.name.clone(),
-        replica: if host.durable {
-            host.replica
+        id: instance.id,
+        name: instance.name.clone(),
+        zone: instance.zone.clone(),
+        address: instance.name.clone(),
+        replica: if instance.durable {
+            instance.replica
         } else {
-            host.id.0
+            instance.id.0
         },
-        durable: host.durable,
-        founded: host
+        durable: instance.durable,
+        founded: instance
             .control
             .as_ref()
             .is_some_and(|c| !c.replica().is_blank()),
