--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -69,6 +69,7 @@
     Local(oneshot::Sender<Answer>),
 }
 
+/// Receivers of the event loop's inputs.
 struct Inboxes {
     events: mpsc::Receiver<Notice>,
     queries: mpsc::Receiver<LocalQuery>,
@@ -76,6 +77,7 @@
     completions: mpsc::Receiver<Completion>,
 }
 
+/// Event loop of a control instance and its state.
 struct Control<P> {
     settings: Settings,
     identity: Identity,
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -62,6 +62,7 @@
     pub leader_age: Duration,
 }
 
+/// State that the event loop and the callers of queries share.
 #[derive(Debug, Default)]
 struct Shared {
     links: Links,
@@ -214,7 +215,8 @@
 
     async fn await_term_after(&self, term: u64) {
         let mut seen = self.leader.clone();
-        // The sender is dropped only when the instance stops; wait for the caller's time-out.
+        // The sender is dropped only when the instance stops. The caller's time-out ends the
+        // wait then.
         if seen.wait_for(|leader| leader.term > term).await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -250,6 +252,7 @@
     leader.instance.is_some() && now.since(leader.heard_at) <= LEADER_AGE_MAX
 }
 
+/// Event loop of an entry instance: it handles links and messages and follows the leader.
 struct EventLoop<P> {
     shared: Arc<Mutex<Shared>>,
     leader: watch::Sender<Leader>,
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -36,8 +36,11 @@
 
 /// Request that runs on an upstream. It runs on if its sender crashes.
 pub struct RunningRequest {
+    /// Time at which it ends.
     pub until: u64,
+    /// Id of the sending instance when it started the request.
     pub sender: InstanceId,
+    /// Index of the sending instance.
     pub instance: usize,
     pub assignment: Assignment,
     pub upstream: String,
@@ -93,6 +96,7 @@
     pub in_flight: BTreeMap<(u64, u64), (usize, InstanceId, usize, Input)>,
     /// Latest arrival on each link, which keeps messages in order.
     pub latest_arrivals: BTreeMap<(usize, usize), u64>,
+    /// Number of messages sent, which also orders messages with the same time of arrival.
     pub sent: u64,
     /// Pairs of sender and receiver between which messages are lost.
     pub blocked: BTreeSet<(usize, usize)>,
