--- a/src/cell/calls.rs
+++ b/src/cell/calls.rs
@@ -1,4 +1,4 @@
-//! Questions to peers that wait for their answer.
+//! Calls to peers that wait for an answer.
 
 use std::collections::HashMap;
 
@@ -10,15 +10,18 @@
 use crate::net::Link;
 use crate::wire::{Body, Call, Return};
 
-/// Open questions of one instance.
+/// Pending calls of one instance to its peers.
 #[derive(Debug, Default)]
 pub struct Calls {
-    next: u64,
-    open: HashMap<u64, (InstanceId, oneshot::Sender<RemoteAnswer>)>,
+    /// Id of the latest call.
+    latest_id: u64,
+    /// Pending calls by id, each with the peer that may answer it.
+    pending: HashMap<u64, (InstanceId, oneshot::Sender<RemoteAnswer>)>,
 }
 
 impl Calls {
-    /// Sends a question over a link.
+    /// Sends a call to `peer` over `link` and returns the receiver of its answer. The
+    /// receiver fails if the call is dropped, as when the peer's links go down.
     pub fn send(
         &mut self,
         peer: InstanceId,
@@ -26,39 +29,43 @@
         remote: &Remote,
     ) -> oneshot::Receiver<RemoteAnswer> {
         let (reply, answer) = oneshot::channel();
-        self.next += 1;
-        self.open.insert(self.next, (peer, reply));
+        self.latest_id += 1;
+        self.pending.insert(self.latest_id, (peer, reply));
         link.send(Body::Call(Call {
-            id: self.next,
+            id: self.latest_id,
             body: codec::encode(remote),
         }));
         answer
     }
 
-    /// Takes an answer. One that came too late or twice belongs to nothing.
-    pub fn take(&mut self, from: InstanceId, back: &Return) -> Result<(), postcard::Error> {
+    /// Passes an answer on to the caller that waits for it. An answer that is late,
+    /// duplicate or not from the peer that was called is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the answer cannot be decoded; the call stays pending.
+    pub fn complete(&mut self, from: InstanceId, response: &Return) -> Result<(), postcard::Error> {
         let is_from = |(peer, _): &(InstanceId, _)| *peer == from;
-        if !self.open.get(&back.id).is_some_and(is_from) {
+        if !self.pending.get(&response.id).is_some_and(is_from) {
             return Ok(());
         }
-        let answer: RemoteAnswer = codec::decode(&back.body)?;
-        if let Some((_, reply)) = self.open.remove(&back.id) {
-            // The caller may have given up waiting.
+        let answer: RemoteAnswer = codec::decode(&response.body)?;
+        if let Some((_, reply)) = self.pending.remove(&response.id) {
+            // Sending fails if the caller no longer waits.
             let _ = reply.send(answer);
         }
         Ok(())
     }
 
-    /// Gives up questions to a peer whose links are down, and those that nobody
-    /// waits for.
-    pub fn sweep(&mut self, links: &Links) {
-        self.open
+    /// Drops calls to peers without a link and calls whose caller no longer waits.
+    pub fn remove_abandoned(&mut self, links: &Links) {
+        self.pending
             .retain(|_, (peer, reply)| links.contains_key(peer) && !reply.is_closed());
     }
 }
 
-/// Sends an answer.
-pub fn answer(link: &Link, id: u64, answer: &RemoteAnswer) {
+/// Answers a peer's call `id` over `link`.
+pub fn send_answer(link: &Link, id: u64, answer: &RemoteAnswer) {
     link.send(Body::Return(Return {
         id,
         body: codec::encode(answer),
--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -1,18 +1,20 @@
-//! The replicated log: sending, storing, applying, compacting.
+//! The replicated log: sends messages, stores and applies entries, compacts the log.
 
-use super::{COMPACT_BYTES, COMPACT_ENTRIES, Control};
+use super::{COMPACT_LOG_BYTES, COMPACT_LOG_ENTRIES, Control};
 use crate::cell::Port;
 use crate::cell::journal::Line;
 use crate::cell::metrics::Metrics;
-use crate::cell::storage::{Done, Job};
+use crate::cell::storage::{Completion, Request};
 use crate::core::consensus::{Ballot, Ready};
 use crate::core::plane::codec;
 use crate::core::plane::state::{Command, State};
 use crate::wire::{Body, Entry, Raft};
 
 impl<P: Port> Control<P> {
-    // Sends, stores and applies what the replica has to do.
-    pub(super) fn pump(&mut self) {
+    // Processes the replica's output until there is none: sends messages, hands entries to
+    // the disk thread and applies committed entries. While a write is in progress, only
+    // output that needs no further write is processed.
+    pub(super) fn process_ready(&mut self) {
         loop {
             let now = self.clock.now();
             self.replica.flush(now);
@@ -26,17 +28,17 @@
                 continue;
             }
             let mut ready = self.replica.take_ready();
-            self.note_ballots(std::mem::take(&mut ready.ballots));
+            self.log_election_events(std::mem::take(&mut ready.ballots));
             if ready.is_idle() {
                 break;
             }
-            // Followers may have a leader's entries before its own disk does.
+            // A leader may send entries to followers before its own write completes.
             if self.replica.is_leader() && ready.hard.is_none() || !ready.needs_disk() {
                 let messages = std::mem::take(&mut ready.messages);
                 self.send_all(messages);
             }
             if let Some(snapshot) = &ready.snapshot {
-                self.load(snapshot.index, &snapshot.data);
+                self.restore_snapshot(snapshot.index, &snapshot.data);
             }
             let committed = std::mem::take(&mut ready.committed);
             if ready.needs_disk() {
@@ -47,7 +49,7 @@
         self.compact();
     }
 
-    fn note_ballots(&self, ballots: Vec<Ballot>) {
+    fn log_election_events(&self, ballots: Vec<Ballot>) {
         for ballot in ballots {
             let line = match ballot {
                 Ballot::Stood {
@@ -75,7 +77,7 @@
         }
     }
 
-    // The name of a replica's instance, or its number if it has not been seen.
+    // Returns the instance name of a replica, or its number if it is not linked.
     fn name_of(&self, replica: u64) -> String {
         let peer = self.peers.values().find(|p| p.replica == replica);
         peer.map_or_else(|| replica.to_string(), |p| p.name.clone())
@@ -85,37 +87,41 @@
         let log = self.replica.log();
         let last = (log.last_index(), log.last_term());
         let ready = Box::new(ready);
-        if self.jobs.send(Job::Store { ready, last }).is_err() {
+        if self
+            .disk_requests
+            .send(Request::Store { ready, last })
+            .is_err()
+        {
             self.journal.write(&Line::DiskRefused {
-                error: "the disk's thread has ended".to_owned(),
+                error: "disk thread has ended; stopping this instance".to_owned(),
             });
             self.token.cancel();
         }
         self.storing = true;
     }
 
-    pub(super) fn take_stored(&mut self, done: Done) {
-        match done {
-            Done::Stored { ready, last } => {
+    pub(super) fn handle_disk_result(&mut self, completion: Completion) {
+        match completion {
+            Completion::Stored { ready, last } => {
                 self.storing = false;
                 let now = self.clock.now();
                 self.replica.persisted_to(now, last.0, last.1);
                 self.send_all(ready.messages);
-                self.pump();
+                self.process_ready();
             }
-            Done::Compacted => self.compacting = false,
+            Completion::Compacted => self.compacting = false,
         }
     }
 
-    pub(super) fn load(&mut self, index: u64, data: &[u8]) {
+    pub(super) fn restore_snapshot(&mut self, index: u64, data: &[u8]) {
         match codec::decode::<State>(data) {
             Ok(state) => {
                 self.state = state;
                 self.state.applied = index;
             }
             Err(err) => {
-                // Going on would apply entries to the wrong state.
-                self.unreadable("a snapshot", &err);
+                // Continuing would apply later entries to the wrong state.
+                self.log_unreadable("state in a snapshot", &err);
                 self.token.cancel();
             }
         }
@@ -137,7 +143,7 @@
         if !entry.command.is_empty() {
             match codec::decode::<Command>(&entry.command) {
                 Ok(command) => self.apply_command(command),
-                Err(err) => self.unreadable("a log entry", &err),
+                Err(err) => self.log_unreadable("command in a log entry", &err),
             }
         }
         self.state.applied = entry.index;
@@ -145,8 +151,12 @@
         if let Some(at) = self.proposed_at.remove(&entry.index) {
             Metrics::observe(&self.metrics.commit_seconds, now.since(at));
         }
-        for (call, answer) in self.waiting.remove(&entry.index).unwrap_or_default() {
-            self.answer(call, answer);
+        for (call, answer) in self
+            .deferred_answers
+            .remove(&entry.index)
+            .unwrap_or_default()
+        {
+            self.send_answer(call, answer);
         }
     }
 
@@ -156,7 +166,7 @@
             Some((_, lead)) => {
                 self.state.apply(command.clone());
                 let effects = lead.applied(now, &self.state, &command);
-                self.carry_out(effects);
+                self.execute(effects);
             }
             None => self.state.apply(command),
         }
@@ -164,7 +174,7 @@
 
     pub(super) fn send_all(&mut self, messages: Vec<Raft>) {
         for raft in messages {
-            // Replica 0 stands for all.
+            // Replica 0 addresses all durable peers.
             if raft.to == 0 {
                 let durable = self.peers.values().filter(|p| p.durable);
                 for peer in durable {
@@ -180,7 +190,7 @@
 
     pub(super) fn compact(&mut self) {
         let log = self.replica.log();
-        let is_long = log.bytes() >= COMPACT_BYTES || log.len() >= COMPACT_ENTRIES;
+        let is_long = log.bytes() >= COMPACT_LOG_BYTES || log.len() >= COMPACT_LOG_ENTRIES;
         if !is_long || self.compacting || self.storing {
             return;
         }
@@ -194,8 +204,8 @@
         let entries = log.slice(log.first_index(), usize::MAX);
         self.journal.write(&Line::Compacted { index, bytes });
         self.compacting = true;
-        let job = Job::Compact(Box::new(snapshot), entries);
-        if self.jobs.send(job).is_err() {
+        let request = Request::Compact(Box::new(snapshot), entries);
+        if self.disk_requests.send(request).is_err() {
             self.token.cancel();
         }
     }
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -1,5 +1,5 @@
-//! An entry instance: passes callers' questions on to the leader and asks the
-//! permission service for it. It keeps no state of its own.
+//! Entry instance: forwards callers' queries to the leader and sends permission requests
+//! on the leader's behalf. It stores nothing.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 
 use super::calls::{self, Calls};
 use super::journal::{Journal, Line};
-use super::{INBOX_MAX, Links, PING_EVERY, Port, Remote, RemoteAnswer, Settings};
+use super::{INBOX_MESSAGES_MAX, Links, PING_INTERVAL, Port, Remote, RemoteAnswer, Settings};
 use crate::clock::Clock;
 use crate::core::control::{Identity, Peer};
 use crate::core::plane::codec;
@@ -23,44 +23,46 @@
 use crate::net::{Link, Mesh, Notice};
 use crate::wire::{Body, Ping};
 
-/// A leader whose word is older is not counted on: four intervals of its word.
+/// Age of the latest heartbeat above which the leader is considered lost: four heartbeat
+/// intervals.
 const LEADER_AGE_MAX: Duration = Duration::from_millis(1_200);
-/// Longest wait for a leader to appear before a caller is refused. Refusing within it
-/// would turn callers away for the pause of a planned hand-over.
+/// Longest wait for a leader before a query is refused. A shorter wait would refuse
+/// queries during a planned leadership transfer.
 const LEADER_WAIT: Duration = Duration::from_millis(200);
-/// A question without an answer for this long is asked again, as its leader may be
-/// suspended. It is some thirty times a commit, and an election takes as long.
+/// Time after which an unanswered query is sent again, since the leader may be suspended.
+/// It is about thirty times the duration of a commit and as long as an election.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller may come back that found no leader, in milliseconds: about the time
-/// until another is elected.
+/// Retry delay, in milliseconds, given to callers when there is no leader: about the
+/// duration of an election.
 const NO_LEADER_RETRY_MS: u64 = 1_000;
-/// Pause between attempts.
+/// Pause between attempts to query the leader.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(30);
 
-/// What is known of the leader.
+/// Leader as known to an entry instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leader {
-    /// Its instance, if one is linked.
+    /// Instance id of the leader; absent if no linked instance is known to lead.
     pub instance: Option<InstanceId>,
-    /// Its term.
+    /// Latest term known to have a leader.
     pub term: u64,
-    /// When its word last came.
+    /// Time of the latest heartbeat.
     pub heard_at: Moment,
 }
 
-/// How a question went.
+/// Result of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// Answer.
+    /// Leader's answer, or a refusal if there was none.
     pub answer: Answer,
-    /// Attempts to reach the leader.
+    /// Number of times the query was sent to a leader.
     pub attempts: u32,
-    /// Term of the leader that was asked last.
+    /// Term of the latest known leader at the last attempt.
     pub term: u64,
-    /// Age of the leader's latest word then.
+    /// Time since the leader's latest heartbeat.
     pub leader_age: Duration,
 }
 
+/// State that the event loop and the callers of queries share.
 #[derive(Debug, Default)]
 struct Shared {
     links: Links,
@@ -68,7 +70,7 @@
     calls: Calls,
 }
 
-/// A running entry instance.
+/// Handle to a running entry instance.
 #[derive(Clone, Debug)]
 pub struct Entry {
     shared: Arc<Mutex<Shared>>,
@@ -81,32 +83,32 @@
 ///
 /// # Errors
 ///
-/// Fails if the peer address is taken.
+/// Fails if the peer address cannot be bound.
 pub async fn start<P: Port>(
     settings: Settings,
-    port: Arc<P>,
+    transport: Arc<P>,
     journal: Journal,
     token: CancellationToken,
 ) -> Result<Entry> {
     let listener = TcpListener::bind(settings.peer).await?;
     let id = InstanceId(rand::random::<u64>().max(1));
-    let me = Identity {
+    let identity = Identity {
         id,
         name: settings.name.clone(),
         zone: settings.zone.clone(),
-        // Without an address nobody dials an entry instance.
+        // Peers do not dial an instance without an address.
         address: String::new(),
         replica: id.0,
         durable: false,
         founders: Vec::new(),
         replace_after: settings.replace_after,
     };
-    let (notices, inbox) = mpsc::channel(INBOX_MAX);
+    let (events, inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
     let mesh = Mesh::new(
-        me,
+        identity,
         settings.secret.clone(),
         &settings.seeds,
-        notices,
+        events,
         token.child_token(),
     );
     tokio::spawn(Arc::clone(&mesh).run(listener));
@@ -117,41 +119,44 @@
         clock: Clock::default(),
         mesh: Arc::clone(&mesh),
     };
-    let follower = Follower {
+    let event_loop = EventLoop {
         shared: Arc::clone(&entry.shared),
         leader,
         clock: entry.clock,
-        port,
+        transport,
         journal,
         mesh,
         token,
-        was_led: false,
+        had_leader: false,
     };
-    tokio::spawn(follower.run(inbox));
+    tokio::spawn(event_loop.run(inbox));
     Ok(entry)
 }
 
 impl Entry {
-    /// Adds peer addresses of control instances.
+    /// Adds peer addresses of control instances to connect to.
     pub fn learn(&self, addresses: &[String]) {
         self.mesh.learn(addresses);
     }
 
-    /// Returns what is known of the leader.
+    /// Returns the leader as known now.
     pub fn leader(&self) -> Leader {
         *self.leader.borrow()
     }
 
-    /// Returns whether callers' questions can be answered now, as far as known.
+    /// Returns whether a leader is known and its latest heartbeat is recent enough to send
+    /// queries to it.
     pub fn is_ready(&self) -> bool {
         is_fresh(&self.leader(), self.clock.now())
     }
 
-    /// Asks the leader until it answers or the deadline passes. Questions may be asked
-    /// more than once, so they must be such that this changes nothing.
+    /// Sends a query to the leader and retries until it answers or the deadline passes.
+    /// The query may be sent more than once, so it must be idempotent.
+    ///
+    /// Returns [`Answer::Unknown`] if an attempt was sent and its result is not known.
     pub async fn ask(&self, query: Query, deadline: Instant) -> Outcome {
         let mut attempts = 0;
-        let mut unknown = false;
+        let mut result_unknown = false;
         loop {
             let leader = self.await_leader(deadline).await;
             let outcome = |answer, attempts| Outcome {
@@ -160,44 +165,44 @@
                 term: leader.term,
                 leader_age: self.clock.now().since(leader.heard_at),
             };
-            let given_up = if unknown {
+            let failure = if result_unknown {
                 Answer::Unknown
             } else {
                 no_leader()
             };
-            let sent = leader.instance.and_then(|id| self.send(id, &query));
+            let sent = leader.instance.and_then(|id| self.send_query(id, &query));
             let Some(answer) = sent else {
-                return outcome(given_up, attempts);
+                return outcome(failure, attempts);
             };
             attempts += 1;
             let limit = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
             let answered = tokio::select! {
                 answered = timeout_at(limit, answer) => answered,
-                // The answer of a leader that has been replaced may never come.
+                // A replaced leader may never answer, so retry with the new one at once.
                 () = self.await_term_after(leader.term) => {
-                    unknown = true;
+                    result_unknown = true;
                     continue;
                 }
             };
             match answered {
                 Ok(Ok(RemoteAnswer::Query(Answer::NotLeader))) => {}
-                Ok(Ok(RemoteAnswer::Query(Answer::Unknown))) => unknown = true,
+                Ok(Ok(RemoteAnswer::Query(Answer::Unknown))) => result_unknown = true,
                 Ok(Ok(RemoteAnswer::Query(answer))) => return outcome(answer, attempts),
-                _ => unknown = true,
+                _ => result_unknown = true,
             }
             if Instant::now() + ATTEMPT_PAUSE >= deadline {
-                let given_up = if unknown {
+                let failure = if result_unknown {
                     Answer::Unknown
                 } else {
                     no_leader()
                 };
-                return outcome(given_up, attempts);
+                return outcome(failure, attempts);
             }
             tokio::time::sleep(ATTEMPT_PAUSE).await;
         }
     }
 
-    fn send(
+    fn send_query(
         &self,
         to: InstanceId,
         query: &Query,
@@ -210,7 +215,8 @@
 
     async fn await_term_after(&self, term: u64) {
         let mut seen = self.leader.clone();
-        // The sender lives as long as the process serves.
+        // The sender is dropped only when the instance stops. The caller's time-out ends the
+        // wait then.
         if seen.wait_for(|leader| leader.term > term).await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -246,54 +252,56 @@
     leader.instance.is_some() && now.since(leader.heard_at) <= LEADER_AGE_MAX
 }
 
-struct Follower<P> {
+/// Event loop of an entry instance: it handles links and messages and follows the leader.
+struct EventLoop<P> {
     shared: Arc<Mutex<Shared>>,
     leader: watch::Sender<Leader>,
     clock: Clock,
-    port: Arc<P>,
+    transport: Arc<P>,
     journal: Journal,
     mesh: Arc<Mesh>,
     token: CancellationToken,
-    was_led: bool,
+    had_leader: bool,
 }
 
-impl<P: Port> Follower<P> {
+impl<P: Port> EventLoop<P> {
     async fn run(mut self, mut inbox: mpsc::Receiver<Notice>) {
-        let mut pings = interval(PING_EVERY);
+        let mut pings = interval(PING_INTERVAL);
         loop {
             tokio::select! {
                 () = self.token.cancelled() => return,
-                Some(notice) = inbox.recv() => self.take(notice),
-                _ = pings.tick() => self.ping(),
+                Some(event) = inbox.recv() => self.handle_link_event(event),
+                _ = pings.tick() => self.send_pings(),
             }
         }
     }
 
-    fn ping(&mut self) {
+    fn send_pings(&mut self) {
         let now = self.clock.now();
         let mut shared = self.shared.lock().expect("shared lock");
         let ping = Ping {
             sent_at: now.0,
             ..Ping::default()
         };
-        // On every link: each side may send on another one of two.
+        // Pings go out on every link: if both peers dialed, each side may use a different
+        // link for its messages, and a silent link is closed.
         for link in shared.links.values().flatten() {
             link.send(Body::Ping(ping.clone()));
         }
         let Shared { links, calls, .. } = &mut *shared;
-        calls.sweep(links);
+        calls.remove_abandoned(links);
         drop(shared);
         let leader = *self.leader.borrow();
-        let is_led = is_fresh(&leader, now);
-        if self.was_led && !is_led {
+        let has_leader = is_fresh(&leader, now);
+        if self.had_leader && !has_leader {
             let age_ms = now.since(leader.heard_at).as_millis() as u64;
             self.journal.write(&Line::LeaderGone { age_ms });
         }
-        self.was_led = is_led;
+        self.had_leader = has_leader;
     }
 
-    fn take(&mut self, notice: Notice) {
-        match notice {
+    fn handle_link_event(&mut self, event: Notice) {
+        match event {
             Notice::Up(peer, link) => {
                 self.journal.write(&Line::PeerUp {
                     peer: peer.name.clone(),
@@ -303,13 +311,13 @@
                 shared.links.entry(peer.id).or_default().push(link);
                 shared.peers.insert(peer.id, peer);
             }
-            Notice::Down(id, number) => self.take_down(id, number),
-            Notice::Message(from, body) => self.take_message(from, body),
+            Notice::Down(id, number) => self.handle_link_down(id, number),
+            Notice::Message(from, body) => self.handle_message(from, body),
             Notice::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
         }
     }
 
-    fn take_down(&mut self, id: InstanceId, number: u64) {
+    fn handle_link_down(&mut self, id: InstanceId, number: u64) {
         let mut shared = self.shared.lock().expect("shared lock");
         let Some(links) = shared.links.get_mut(&id) else {
             return;
@@ -320,7 +328,7 @@
         }
         shared.links.remove(&id);
         let Shared { links, calls, .. } = &mut *shared;
-        calls.sweep(links);
+        calls.remove_abandoned(links);
         if let Some(peer) = shared.peers.remove(&id) {
             let peer = peer.name;
             self.journal.write(&Line::PeerDown { peer });
@@ -335,44 +343,44 @@
         });
     }
 
-    fn take_message(&mut self, from: InstanceId, body: Body) {
+    fn handle_message(&mut self, from: InstanceId, body: Body) {
         match body {
             Body::Ping(ping) => self.mesh.learn(&ping.peers),
-            Body::Leading(leading) => self.take_leading(from, leading.term),
+            Body::Leading(heartbeat) => self.handle_leader_heartbeat(from, heartbeat.term),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
-                Ok(Remote::Permission(question)) => {
+                Ok(Remote::Permission(request)) => {
                     let shared = self.shared.lock().expect("shared lock");
                     let link: Option<Link> =
                         shared.links.get(&from).and_then(|l| l.last()).cloned();
                     drop(shared);
-                    let (port, id) = (Arc::clone(&self.port), call.id);
+                    let (transport, id) = (Arc::clone(&self.transport), call.id);
                     tokio::spawn(async move {
-                        let answer = RemoteAnswer::Permission(port.ask(question).await);
+                        let answer = RemoteAnswer::Permission(transport.ask(request).await);
                         if let Some(link) = link {
-                            calls::answer(&link, id, &answer);
+                            calls::send_answer(&link, id, &answer);
                         }
                     });
                 }
-                // Entry instances answer nothing else.
+                // Entry instances do not answer queries.
                 Ok(Remote::Query(_)) => {}
-                Err(err) => self.unreadable("a peer's question", &err),
+                Err(err) => self.log_unreadable("call from a peer", &err),
             },
-            Body::Return(back) => {
+            Body::Return(response) => {
                 let mut shared = self.shared.lock().expect("shared lock");
-                if let Err(err) = shared.calls.take(from, &back) {
-                    self.unreadable("a peer's answer", &err);
+                if let Err(err) = shared.calls.complete(from, &response) {
+                    self.log_unreadable("answer from a peer", &err);
                 }
             }
             _ => {}
         }
     }
 
-    fn unreadable(&self, what: &'static str, err: &postcard::Error) {
+    fn log_unreadable(&self, what: &'static str, err: &postcard::Error) {
         let error = err.to_string();
         self.journal.write(&Line::Unreadable { what, error });
     }
 
-    fn take_leading(&mut self, from: InstanceId, term: u64) {
+    fn handle_leader_heartbeat(&mut self, from: InstanceId, term: u64) {
         let known = *self.leader.borrow();
         if term < known.term {
             return;
@@ -384,7 +392,7 @@
                 self.journal.write(&Line::LeaderSeen { leader, term });
             }
         }
-        self.was_led = true;
+        self.had_leader = true;
         self.leader.send_replace(Leader {
             instance: Some(from),
             term,
--- a/src/cell/metrics.rs
+++ b/src/cell/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an instance of a cell with one task plane.
+//! Prometheus metrics of an instance of a cell with a single task plane.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,47 +11,47 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Label with what happened.
+/// Label that tells the outcomes of one operation apart.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct Outcome {
-    /// What happened.
+    /// Value of the label.
     pub outcome: String,
 }
 
-/// What an instance counts.
+/// Metrics of one instance; clones share their values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
-    /// Callers' requests by status.
+    /// Callers' requests by HTTP status.
     pub requests: Family<Outcome, Counter>,
-    /// Time to answer callers, in seconds.
+    /// Time to answer a caller's request, in seconds.
     pub request_seconds: Histogram,
     /// Orders to workers by outcome.
     pub orders: Family<Outcome, Counter>,
-    /// Time for workers to answer starts and stops, in seconds.
+    /// Time for workers to answer start and stop orders, in seconds.
     pub order_seconds: Histogram,
-    /// Ends of runs by how.
-    pub ends: Family<Outcome, Counter>,
-    /// Questions to the permission service by outcome.
-    pub questions: Family<Outcome, Counter>,
-    /// Time from proposing an entry to applying it, in seconds.
+    /// Ended runs by the way in which they ended.
+    pub run_ends: Family<Outcome, Counter>,
+    /// Permission requests by outcome.
+    pub permission_requests: Family<Outcome, Counter>,
+    /// Time from proposing a log entry to applying it, in seconds.
     pub commit_seconds: Histogram,
-    /// Time from accepting a job to placing a run of it, in seconds.
-    pub wait_seconds: Histogram,
-    /// Whether this instance leads.
-    pub leads: Gauge,
+    /// Time from accepting a job to placing one of its runs, in seconds.
+    pub placement_wait_seconds: Histogram,
+    /// 1 if this instance leads, else 0.
+    pub is_leader: Gauge,
     /// Version of the configuration in force.
-    pub configuration: Gauge,
+    pub config_version: Gauge,
     /// Jobs that have not ended.
     pub open_jobs: Gauge,
-    /// Workers that may get work.
+    /// Workers whose incarnation has not ended, which may be given work.
     pub workers: Gauge,
     /// Log lines dropped because the reader was too slow.
     pub lines_dropped: Gauge,
 }
 
-fn seconds() -> Histogram {
-    // One millisecond to some half a minute.
+fn duration_histogram() -> Histogram {
+    // Upper bounds from 1 ms to about 16 s.
     Histogram::new(exponential_buckets(0.001, 2.0, 15))
 }
 
@@ -61,15 +61,15 @@
         let metrics = Self {
             registry: Arc::default(),
             requests: Family::default(),
-            request_seconds: seconds(),
+            request_seconds: duration_histogram(),
             orders: Family::default(),
-            order_seconds: seconds(),
-            ends: Family::default(),
-            questions: Family::default(),
-            commit_seconds: seconds(),
-            wait_seconds: seconds(),
-            leads: Gauge::default(),
-            configuration: Gauge::default(),
+            order_seconds: duration_histogram(),
+            run_ends: Family::default(),
+            permission_requests: Family::default(),
+            commit_seconds: duration_histogram(),
+            placement_wait_seconds: duration_histogram(),
+            is_leader: Gauge::default(),
+            config_version: Gauge::default(),
             open_jobs: Gauge::default(),
             workers: Gauge::default(),
             lines_dropped: Gauge::default(),
@@ -83,12 +83,24 @@
         );
         registry.register("orders", "Orders to workers", m.orders.clone());
         registry.register("order_seconds", "Time of orders", m.order_seconds.clone());
-        registry.register("ends", "Ends of runs", m.ends.clone());
-        registry.register("questions", "Permission questions", m.questions.clone());
+        registry.register("ends", "Ends of runs", m.run_ends.clone());
+        registry.register(
+            "questions",
+            "Permission questions",
+            m.permission_requests.clone(),
+        );
         registry.register("commit_seconds", "Time to commit", m.commit_seconds.clone());
-        registry.register("wait_seconds", "Wait of runs", m.wait_seconds.clone());
-        registry.register("leads", "Whether this leads", m.leads.clone());
-        registry.register("configuration", "Version in force", m.configuration.clone());
+        registry.register(
+            "wait_seconds",
+            "Wait of runs",
+            m.placement_wait_seconds.clone(),
+        );
+        registry.register("leads", "Whether this leads", m.is_leader.clone());
+        registry.register(
+            "configuration",
+            "Version in force",
+            m.config_version.clone(),
+        );
         registry.register("open_jobs", "Jobs not ended", m.open_jobs.clone());
         registry.register("workers", "Workers known", m.workers.clone());
         registry.register("lines_dropped", "Lines dropped", m.lines_dropped.clone());
@@ -98,18 +110,18 @@
 }
 
 impl Metrics {
-    /// Counts one of a family.
+    /// Increments the counter for `outcome`.
     pub fn count(family: &Family<Outcome, Counter>, outcome: impl Into<String>) {
         let outcome = outcome.into();
         family.get_or_create(&Outcome { outcome }).inc();
     }
 
-    /// Records a time.
+    /// Records a duration.
     pub fn observe(histogram: &Histogram, took: Duration) {
         histogram.observe(took.as_secs_f64());
     }
 
-    /// Returns everything in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().expect("registry lock");
