--- a/src/http/callers.rs
+++ b/src/http/callers.rs
@@ -1,4 +1,4 @@
-//! Handlers for callers.
+//! Handlers of the request API: requests to services and request ids.
 
 use axum::body::Body;
 use axum::extract::{Path, Request, State};
@@ -18,16 +18,16 @@
 use crate::config::Config;
 use crate::error::{Error, Kind, Result, Run};
 
-/// Longest time for a request's body.
+/// Time within which the whole body of a request must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A minted request id.
+/// Response body with a new request id.
 #[derive(Debug, Serialize)]
 struct Minted {
     id: String,
 }
 
-/// Takes a request for a service's root.
+/// Handles a request for the root path of a service.
 pub async fn request_root(
     State(app): State<App>,
     Path(service): Path<String>,
@@ -36,7 +36,7 @@
     take(&app, &service, "/", request).await
 }
 
-/// Takes a request for a path of a service.
+/// Handles a request for any other path of a service.
 pub async fn request(
     State(app): State<App>,
     Path((service, path)): Path<(String, String)>,
@@ -45,15 +45,15 @@
     take(&app, &service, &format!("/{path}"), request).await
 }
 
-/// Mints a request id that the caller may use as its `Idempotency-Key`.
+/// Generates a request id that the caller may use as its `Idempotency-Key`.
 pub async fn mint(State(app): State<App>) -> Response {
     let id = app.node.traffic.mint();
     json(StatusCode::OK, &Minted { id })
 }
 
-/// Answers requests for pages that do not exist.
+/// Answers requests for unknown paths.
 pub async fn unknown() -> Response {
-    Refused::from(Error::new(Kind::NotFound, "no such page")).into_response()
+    Refused::from(Error::new(Kind::NotFound, "no such path")).into_response()
 }
 
 async fn take(app: &App, service: &str, path: &str, request: Request) -> Response {
@@ -80,8 +80,8 @@
     }
 }
 
-// Before its claim is looked up, nobody knows whether an id of the caller's choice
-// ran at an earlier try. Without a team or a service there was no such try.
+// An id chosen by the caller may have run in an earlier request, which only the lookup of
+// its claim can tell. Without a team or a service there can be no earlier run.
 const fn may_have_run(kind: Kind) -> bool {
     !matches!(kind, Kind::Unauthenticated | Kind::UnknownService)
 }
@@ -101,14 +101,14 @@
     let settings = view.config.services.get(service).cloned().ok_or_else(|| {
         refuse(Error::new(
             Kind::UnknownService,
-            format!("no service {service}"),
+            format!("unknown service {service}"),
         ))
     })?;
     let secret = bearer(&head.headers).map_err(refuse)?;
     let team = match (secret, &settings.open) {
         (Some(secret), _) => traffic.authenticate(&view, secret).map_err(refuse)?,
         (None, Some(open)) => open.clone(),
-        (None, None) => return Err(refuse(Error::new(Kind::Unauthenticated, "no key"))),
+        (None, None) => return Err(refuse(Error::new(Kind::Unauthenticated, "no API key"))),
     };
     let wish = wish(&head.method, &head.headers, &settings).map_err(refuse)?;
     let deadline = taken + wish.deadline;
@@ -143,18 +143,19 @@
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let collected = timeout(BODY_TIMEOUT, Limited::new(body, limit).collect())
         .await
-        .map_err(|_| Error::new(Kind::SlowRequest, "the body came too slowly"))?;
+        .map_err(|_| Error::new(Kind::SlowRequest, "the request body took too long"))?;
     match collected {
         Ok(body) => Ok(body.to_bytes()),
         Err(err) if err.is::<LengthLimitError>() => {
-            let message = format!("the body is over {limit} bytes");
+            let message = format!("the request body exceeds {limit} bytes");
             Err(Error::new(Kind::BodyTooLarge, message))
         }
         Err(err) => Err(Error::new(Kind::BadRequest, err.to_string())),
     }
 }
 
-// A minted id tells its home zone and its age: `zone:millis:instance:count`.
+// Returns the home zone and the age encoded in a generated id, which has the form
+// `zone:millis:instance:count`.
 fn minted_origin(config: &Config, zones: &[String], id: &str) -> Option<(String, Duration)> {
     let mut parts = id.split(':');
     let zone = parts.next()?;
@@ -170,7 +171,7 @@
         return None;
     }
     let age = Duration::from_millis(wall_millis().saturating_sub(millis));
-    // An id from the future proves nothing; it counts as too old.
+    // The age of an id with a timestamp in the future is unknown, so it counts as expired.
     let from_future = millis > wall_millis() + config.cell.claim_retention.as_millis() as u64;
     let age = if from_future { Duration::MAX } else { age };
     Some((zone.to_owned(), age))
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an upstream.
+//! A single request attempt at an upstream.
 
 use std::sync::Arc;
 
@@ -15,7 +15,8 @@
 use crate::event::Event;
 
 impl Proxy {
-    // A slot on which the upstream may still work stays taken until it surely ended.
+    // Releases the slot of an attempt. If the upstream may still be working on the request,
+    // the slot stays reserved until the run limit has passed.
     pub(super) fn release(&self, assignment: Assignment, attempted: &Attempted) {
         let traffic = Arc::clone(&self.node.traffic);
         match attempted {
@@ -34,8 +35,9 @@
         }
     }
 
-    /// Makes one attempt. Its caller is answered at the deadline, but the exchange
-    /// goes on until the upstream has surely ended with it, and holds its slot.
+    /// Makes one attempt. The caller gets an error at the deadline, but the exchange goes on
+    /// until the upstream answers or the run limit passes, so that the slot stays reserved
+    /// while the upstream may be working.
     pub(super) async fn attempt(
         &self,
         incoming: &Incoming,
@@ -49,7 +51,7 @@
                 .map(|u| u.announcement.clone())
         };
         let Some(target) = target else {
-            return Attempted::Unsent("the upstream is gone".into());
+            return Attempted::Unsent("the upstream was removed".into());
         };
         let connection = match self.pool.take(target.address, incoming.idempotent).await {
             Ok(connection) => connection,
@@ -57,7 +59,7 @@
         };
         if traffic.clock.now() >= incoming.deadline {
             connection.close();
-            return Attempted::Unsent("the deadline passed before anything was sent".into());
+            return Attempted::Unsent("the deadline passed before the request was sent".into());
         }
         traffic.record(Event::RequestSent {
             request: incoming.id.clone(),
@@ -79,6 +81,7 @@
         exchange.await
     }
 
+    // Sends the request and reads the whole response.
     pub(super) async fn converse(
         &self,
         mut connection: Connection,
@@ -103,14 +106,14 @@
                 if unsent {
                     return Attempted::Unsent(message);
                 }
-                // The upstream itself closed, so it no longer works on the request.
-                // A reset may come from something between.
+                // An orderly close comes from the upstream, which then no longer works on the
+                // request. A reset may come from a middlebox, so the request may still run.
                 let until = (!err.error().is_incomplete_message()).then_some(run_until);
                 return Attempted::Broken(Kind::UpstreamFailed, message, until);
             }
             Err(_) => {
                 connection.close();
-                let message = format!("{} did not answer", target.name);
+                let message = format!("{} did not answer within the run limit", target.name);
                 return Attempted::Broken(Kind::UpstreamFailed, message, None);
             }
         };
@@ -121,7 +124,7 @@
             .is_some_and(|id| id.as_bytes() != incoming.id.as_bytes());
         if crossed {
             connection.close();
-            let message = format!("{} answered another request", target.name);
+            let message = format!("{} answered with the id of another request", target.name);
             return Attempted::Broken(Kind::BadAnswer, message, Some(run_until));
         }
         let limit = usize::try_from(incoming.settings.answer_limit).unwrap_or(usize::MAX);
@@ -134,20 +137,24 @@
             Ok(Err(err)) => {
                 connection.close();
                 let message = if err.is::<LengthLimitError>() {
-                    format!("the answer of {} is over {limit} bytes", target.name)
+                    format!("the response of {} exceeds {limit} bytes", target.name)
                 } else {
-                    format!("the answer of {} was cut short", target.name)
+                    format!("the response of {} was truncated", target.name)
                 };
                 Attempted::Broken(Kind::BadAnswer, message, Some(run_until))
             }
             Err(_) => {
                 connection.close();
-                let message = format!("the answer of {} did not end", target.name);
+                let message = format!(
+                    "the response of {} did not end within the run limit",
+                    target.name
+                );
                 Attempted::Broken(Kind::BadAnswer, message, None)
             }
         }
     }
 
+    // Builds the request to the upstream, without hop-by-hop headers.
     pub(super) fn outgoing(
         &self,
         incoming: &Incoming,
--- a/src/http/headers.rs
+++ b/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of callers.
+//! Parsing of request headers.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 
 /// Longest request id, in bytes.
 const ID_MAX: usize = 128;
-/// Worth of a request that names none.
+/// Worth of a request without an `X-Worth` header.
 const DEFAULT_WORTH: u64 = 1;
 
-/// What the headers of a request say.
+/// Request options given in headers, with defaults filled in.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Wish {
-    /// Caller's request id.
+    /// Request id chosen by the caller, from `Idempotency-Key`.
     pub id: Option<String>,
-    /// Time until the answer stops being of use.
+    /// Time from arrival until the answer is no longer useful to the caller.
     pub deadline: Duration,
-    /// Worth if answered in time.
+    /// Value of an answer before the deadline; admission prefers higher values.
     pub worth: u64,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
 }
 
-/// Reads the headers of a request for `service`.
+/// Parses the headers of a request for `service`.
 ///
 /// # Errors
 ///
-/// Fails with [`Kind::BadRequest`] if one is malformed.
+/// Fails with [`Kind::BadRequest`] if a header is malformed.
 pub fn wish(method: &Method, headers: &HeaderMap, service: &Service) -> Result<Wish> {
     let id = id(headers)?;
     let deadline = match number(headers, "x-deadline-ms")? {
-        Some(0) => return Err(bad("X-Deadline-Ms must be above 0")),
+        Some(0) => return Err(bad("X-Deadline-Ms must be greater than 0")),
         Some(millis) => Duration::from_millis(millis),
         None => service.deadline,
     };
@@ -53,7 +53,7 @@
     })
 }
 
-/// Returns the caller's request id, if there is one.
+/// Returns the request id chosen by the caller, if there is one.
 ///
 /// # Errors
 ///
@@ -61,15 +61,17 @@
 pub fn id(headers: &HeaderMap) -> Result<Option<String>> {
     match text(headers, "idempotency-key")? {
         Some(id) if is_id(id) => Ok(Some(id.to_owned())),
-        Some(_) => Err(bad("Idempotency-Key: 1 to 128 visible characters")),
+        Some(_) => Err(bad(
+            "Idempotency-Key must be 1 to 128 visible ASCII characters",
+        )),
         None => Ok(None),
     }
 }
 
-/// Longest deadline that a caller can ask for.
+/// Upper bound of a requested deadline; longer ones are shortened to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Returns the bearer secret of a request, if it has one.
+/// Returns the bearer token of a request, if it has one.
 ///
 /// # Errors
 ///
@@ -80,7 +82,7 @@
     };
     let value = value
         .to_str()
-        .map_err(|_| bad("Authorization is not text"))?;
+        .map_err(|_| bad("Authorization is not valid ASCII text"))?;
     let secret = value
         .strip_prefix("Bearer ")
         .ok_or_else(|| bad("Authorization must be `Bearer KEY`"))?;
@@ -97,12 +99,12 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(&format!("{name} stands twice")));
+        return Err(bad(&format!("{name} is given more than once")));
     }
     value
         .to_str()
         .map(|v| Some(v.trim()))
-        .map_err(|_| bad(&format!("{name} is not text")))
+        .map_err(|_| bad(&format!("{name} is not valid ASCII text")))
 }
 
 fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>> {
--- a/src/http/jobs.rs
+++ b/src/http/jobs.rs
@@ -1,4 +1,4 @@
-//! Handlers for jobs.
+//! Handlers of the job API.
 
 use axum::extract::{Path, State};
 use axum::http::{HeaderMap, StatusCode};
@@ -16,29 +16,29 @@
 use crate::core::registry::{Command, Outcome};
 use crate::error::{Error, Kind, Result};
 
-/// Answer to an accepted job.
+/// Response to an accepted job.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Submitted {
-    /// Job.
+    /// Id assigned to the job.
     pub id: Id,
 }
 
-/// A job as its team sees it.
+/// Description and progress of a job.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ShownJob {
-    /// Job.
+    /// Id of the job.
     pub id: Id,
-    /// Team.
+    /// Team that submitted it.
     pub team: String,
-    /// Zone that places it.
+    /// Zone whose leader places its tasks.
     pub zone: String,
-    /// Where it stands.
+    /// State of the job.
     pub state: JobState,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Tasks that ended well.
+    /// Number of tasks that ended successfully.
     pub ended: u32,
-    /// What was asked for.
+    /// Specification as submitted.
     pub spec: Spec,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Takes a job.
+/// Accepts a job.
 pub async fn submit(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
     respond(accept(&app, &headers, &body).await)
 }
@@ -60,14 +60,14 @@
     let view = app.node.traffic.view.load_full();
     let queue = view.config.queues.get(&spec.queue);
     if queue.is_none() && !spec.queue.is_empty() {
-        let message = format!("no queue {}", spec.queue);
+        let message = format!("unknown queue {}", spec.queue);
         return Err(Error::new(Kind::NotFound, message));
     }
     let open = queue.and_then(|q| q.open.clone());
     let team = match (bearer(headers)?, open) {
         (Some(secret), _) => app.node.traffic.authenticate(&view, secret)?,
         (None, Some(open)) => open,
-        (None, None) => return Err(Error::new(Kind::Unauthenticated, "no key")),
+        (None, None) => return Err(Error::new(Kind::Unauthenticated, "no API key")),
     };
     let request = request_id(headers)?.unwrap_or_default();
     let zone = choose_zone(app, &view.zones, &spec).await?;
@@ -101,13 +101,13 @@
         ));
     }
     if spec.size.cpu_milli == 0 || spec.size.memory_mb == 0 {
-        return bad("a task needs processors and memory");
+        return bad("cpu_milli and memory_mb of a task must be greater than 0");
     }
     Ok(())
 }
 
-/// Chooses the zone with the most room among those where the job can run; the own
-/// zone wins a tie.
+/// Chooses the zone with the most free processor capacity among those where the job can run;
+/// the local zone wins a tie.
 async fn choose_zone(app: &App, zones: &[String], spec: &Spec) -> Result<String> {
     let mut best: Option<(u64, String)> = None;
     let mut misfits = Vec::new();
@@ -127,7 +127,7 @@
                 misfit: Some(reason),
                 ..
             }) => misfits.push(format!("{zone}: {reason}")),
-            // A zone with less room, or one that cannot be reached.
+            // The zone has less free capacity or cannot be reached.
             _ => {}
         }
     }
@@ -140,19 +140,20 @@
     Err(Error::new(Kind::Unplaceable, misfits.join("; ")))
 }
 
-/// Returns the team that may see a job, or none for an operator, who sees all.
+/// Returns the team of the caller's key, or `None` for an operator, who may see all jobs.
 fn viewer(app: &App, headers: &HeaderMap) -> Result<Option<String>> {
     if is_operator(app, headers) {
         return Ok(None);
     }
     let view = app.node.traffic.view.load();
-    let secret = bearer(headers)?.ok_or_else(|| Error::new(Kind::Unauthenticated, "no key"))?;
+    let secret = bearer(headers)?.ok_or_else(|| Error::new(Kind::Unauthenticated, "no API key"))?;
     app.node.traffic.authenticate(&view, secret).map(Some)
 }
 
 async fn find(app: &App, headers: &HeaderMap, id: u64) -> Result<Job> {
     let viewer = viewer(app, headers)?;
-    // The own state may lag behind the answer to a submission.
+    // The local replica may lag behind: a submitter can ask for its job before the entry
+    // is applied here.
     let local = app.node.ask(Target::Here, Query::Job(Id(id))).await;
     let answer = match local {
         Ok(answer) => answer,
@@ -178,7 +179,7 @@
     respond(shown)
 }
 
-/// Lists the jobs of the key's team, or all for an operator.
+/// Lists the jobs of the caller's team, or all jobs for an operator.
 pub async fn list(State(app): State<App>, headers: HeaderMap) -> Response {
     let listed = async {
         let viewer = viewer(&app, &headers)?;
@@ -204,7 +205,7 @@
     respond(cancelled.await)
 }
 
-/// Explains why a job's tasks wait.
+/// Explains why tasks of a job are waiting.
 pub async fn explain(State(app): State<App>, Path(id): Path<u64>, headers: HeaderMap) -> Response {
     let explained = async {
         let job = find(&app, &headers, id).await?;
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers, the platform and operators.
+//! HTTP server for callers, the platform and operators.
 
 mod callers;
 mod exchange;
@@ -34,23 +34,23 @@
 
 use crate::node::Node;
 
-/// Longest time for the head of a request.
+/// Time within which the head of a request must arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest body that platform and operators may send, in bytes.
+/// Largest body of a request to the platform, job and operator APIs.
 const CONTROL_BODY_MAX: usize = 4 << 20;
-/// Pause after a failure to accept.
+/// Pause after `accept` failed, such as for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What every handler sees.
+/// State shared by all handlers.
 #[derive(Clone, Debug)]
 pub struct App {
-    /// The instance.
+    /// Handle of the instance.
     pub node: Node,
-    /// The request plane.
+    /// Proxy for requests to services.
     pub proxy: Arc<Proxy>,
 }
 
-/// Serves until `close` is cancelled, then ends what runs and returns.
+/// Serves until `close` is cancelled, then finishes running requests and returns.
 pub async fn serve(listener: TcpListener, node: Node, close: CancellationToken) {
     let connections = Arc::new(Semaphore::new(node.settings.connections));
     let proxy = Arc::new(Proxy::new(node.clone()));
@@ -76,7 +76,7 @@
             },
             () = close.cancelled() => break,
         };
-        // Too many connections: closed at once, before anything is read.
+        // Over the connection limit: closes the connection without reading from it.
         let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
             continue;
         };
--- a/src/http/operators.rs
+++ b/src/http/operators.rs
@@ -1,4 +1,4 @@
-//! Handlers for operators.
+//! Handlers of the operator API.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,37 +21,37 @@
 use crate::traffic::View;
 use crate::util::sha256;
 
-/// Records in one answer.
+/// Maximum number of event records in one response.
 const RECORDS_MAX: usize = 2_000;
-/// Longest wait for the home zone's leader to confirm a withdrawal, and for a
-/// version to come.
+/// Longest wait for a zone leader to confirm a key withdrawal, and for a configuration
+/// version to be applied here.
 const CONFIRM_MAX: Duration = Duration::from_secs(2);
-/// Pause between two tries to get that.
+/// Pause between two checks while waiting for either.
 const CONFIRM_PAUSE: Duration = Duration::from_millis(100);
 
-/// A push of a configuration.
+/// Request body to push a configuration.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PushBody {
-    /// Version that it replaces.
+    /// Version that it replaces; the push fails if another version is in force.
     pub replaces: u64,
-    /// Who pushes.
+    /// Name of the operator, for the history.
     pub operator: String,
-    /// Files of the folder.
+    /// Files of the configuration folder.
     pub files: Vec<Source>,
 }
 
-/// Answer to a push.
+/// Response to an accepted push.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Pushed {
-    /// Version in force.
+    /// Version that the push created.
     pub version: u64,
 }
 
-/// Errors of a configuration.
+/// Response to a push with an invalid configuration.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Faults {
-    /// Kind of the refusal.
+    /// Always [`Kind::InvalidConfig`].
     pub kind: Kind,
     /// Errors by file and line.
     pub faults: Vec<Fault>,
@@ -60,87 +60,88 @@
 /// The configuration in force.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Shown {
-    /// Version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Digest of the canonical form.
+    /// SHA-256 of the canonical form, in hexadecimal.
     pub digest: String,
-    /// The configuration.
+    /// Merged configuration.
     pub config: crate::config::Config,
-    /// Accepted pushes, oldest first, with their digests.
+    /// Accepted pushes, oldest first.
     pub history: Vec<Accepted>,
 }
 
 /// An accepted push.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Version that it made.
+    /// Version that the push created.
     pub version: u64,
-    /// Digest of the configuration.
+    /// SHA-256 of the configuration's canonical form, in hexadecimal.
     pub digest: String,
-    /// Who pushed it.
+    /// Name of the operator who pushed it.
     pub operator: String,
 }
 
-/// A key to give.
+/// Request body to add an API key.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GiveBody {
     /// Name of the key.
     pub id: String,
-    /// Team.
+    /// Team that the key authenticates.
     pub team: String,
     /// SHA-256 of the secret, in hexadecimal.
     pub digest: String,
-    /// Zone that goes on taking it while cut off.
+    /// Zone that keeps accepting the key while partitioned from the root group.
     #[serde(default)]
     pub home_zone: Option<String>,
 }
 
-/// A key as operators see it.
+/// Description of an API key, without its digest.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ShownKey {
     /// Name of the key.
     pub id: String,
-    /// Team.
+    /// Team that the key authenticates.
     pub team: String,
-    /// Home zone.
+    /// Zone that keeps accepting the key while partitioned from the root group.
     pub home_zone: Option<String>,
     /// Whether it has been withdrawn.
     pub withdrawn: bool,
 }
 
-/// How far a withdrawal has got.
+/// Response to the withdrawal of a key.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WithdrawnBody {
-    /// Whether it is in force wherever the key could still be taken.
+    /// Whether the withdrawal is in force: committed by the root group and, for a key with a
+    /// home zone, confirmed by the leader of that zone.
     pub accepted: bool,
-    /// Zone whose leader could not be reached to confirm it.
+    /// Home zone whose leader has not confirmed the withdrawal in time.
     pub waits_for: Option<String>,
 }
 
-/// Which records to return.
+/// Query parameters of the event list.
 #[derive(Debug, Deserialize)]
 pub struct After {
-    /// Position after which records are wanted.
+    /// Sequence number after which records are returned.
     #[serde(default)]
     pub after: u64,
 }
 
-/// Records of one instance.
+/// Response with event records of one instance.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Events {
-    /// Records.
+    /// Records in order of their sequence numbers.
     pub records: Vec<Record>,
 }
 
-/// Returns the token that operators present, derived from the cell's secret.
+/// Returns the bearer token of operators, which is derived from the cell's secret.
 pub fn operator_token(secret: &[u8]) -> String {
     let mut bytes = b"plantaincross operator\n".to_vec();
     bytes.extend_from_slice(secret);
     hex::encode(sha256(&bytes))
 }
 
-/// Returns whether a request carries the operators' token.
+/// Returns whether a request carries the operator token.
 pub fn is_operator(app: &App, headers: &HeaderMap) -> bool {
     let token = operator_token(&app.node.settings.secret);
     let given = bearer(headers).ok().flatten().unwrap_or_default();
@@ -161,20 +162,20 @@
     }
 }
 
-/// Tells whether the instance may be sent requests.
+/// Reports whether the instance is ready to receive requests.
 pub async fn ready(State(app): State<App>) -> Response {
     if app.node.is_leaving() {
         return Refused::from(Error::from(Kind::Draining)).into_response();
     }
     let view = app.node.traffic.view.load();
     if view.version == 0 {
-        let err = Error::new(Kind::NoQuorum, "no configuration yet");
+        let err = Error::new(Kind::NoQuorum, "no configuration has been applied yet");
         return Refused::from(err).into_response();
     }
     "ready\n".into_response()
 }
 
-/// Returns the metrics.
+/// Returns the metrics in the Prometheus text format.
 pub async fn metrics(State(app): State<App>) -> String {
     let traffic = &app.node.traffic;
     let (teams, slots) = {
@@ -186,7 +187,7 @@
         .encode(&teams, slots, &app.node.mesh.counters)
 }
 
-/// Takes a configuration.
+/// Checks a pushed configuration and proposes it to the root group.
 pub async fn push(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
     let pushed = async {
         authorize(&app, &headers)?;
@@ -215,8 +216,8 @@
     )
 }
 
-// The change is made against the version that it replaces, which this instance may
-// be about to learn.
+// Waits until `version` is applied here, because the change is computed against it and this
+// instance may lag behind the root group.
 async fn view_of(app: &App, version: u64) -> Arc<View> {
     let deadline = tokio::time::Instant::now() + CONFIRM_MAX;
     loop {
@@ -228,7 +229,7 @@
     }
 }
 
-/// Shows the configuration in force at this instance.
+/// Returns the configuration in force at this instance.
 pub async fn show(State(app): State<App>, headers: HeaderMap) -> Response {
     let shown = async {
         authorize(&app, &headers)?;
@@ -255,7 +256,7 @@
     }
 }
 
-/// Lists the keys.
+/// Lists all API keys.
 pub async fn keys(State(app): State<App>, headers: HeaderMap) -> Response {
     let listed = async {
         authorize(&app, &headers)?;
@@ -275,18 +276,21 @@
     respond(listed.await)
 }
 
-/// Gives a key.
+/// Adds an API key.
 pub async fn give(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
     let given = async {
         authorize(&app, &headers)?;
         let body: GiveBody = parse(&body)?;
         if !crate::config::is_name(&body.id) {
-            return Err(Error::new(Kind::BadRequest, "the key needs a plain name"));
+            return Err(Error::new(
+                Kind::BadRequest,
+                "the key id must be 1 to 64 letters, digits, `-`, `_` or `.`",
+            ));
         }
         let digest = hex::decode(&body.digest)
             .ok()
             .and_then(|d| <[u8; 32]>::try_from(d).ok())
-            .ok_or_else(|| Error::new(Kind::BadRequest, "the digest is not SHA-256"))?;
+            .ok_or_else(|| Error::new(Kind::BadRequest, "the digest is not SHA-256 in hex"))?;
         let key = Key {
             team: body.team,
             digest,
@@ -300,7 +304,7 @@
     respond(given.await)
 }
 
-/// Withdraws a key for good.
+/// Withdraws an API key permanently.
 pub async fn withdraw(
     State(app): State<App>,
     Path(id): Path<String>,
@@ -324,7 +328,8 @@
     respond(withdrawn.await)
 }
 
-// The home zone goes on taking the key until its leader has the withdrawal.
+// Waits until the leader of the key's home zone has applied the withdrawal; until then that
+// zone may keep accepting the key.
 async fn confirm(app: &App, zone: &str, at: u64) -> bool {
     let deadline = tokio::time::Instant::now() + CONFIRM_MAX;
     while tokio::time::Instant::now() < deadline {
@@ -337,7 +342,7 @@
     false
 }
 
-/// Names a new leader for a zone whose whole roster is silent.
+/// Appoints a new leader for a zone in which no candidate of the roster responds.
 pub async fn replace(
     State(app): State<App>,
     Path(zone): Path<String>,
@@ -351,7 +356,7 @@
     respond(replaced.await)
 }
 
-/// Tells how the instance and its peers stand.
+/// Returns the status of this instance and of the peers that it can reach.
 pub async fn status(State(app): State<App>, headers: HeaderMap) -> Response {
     let status = async {
         authorize(&app, &headers)?;
@@ -370,7 +375,7 @@
     respond(status.await)
 }
 
-/// Returns events of this instance.
+/// Returns recorded events of this instance.
 pub async fn events(
     State(app): State<App>,
     Parameters(after): Parameters<After>,
--- a/src/http/platform.rs
+++ b/src/http/platform.rs
@@ -1,4 +1,4 @@
-//! Handlers for the platform: upstreams.
+//! Handlers of the platform API: upstream heartbeats and worker polls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,44 +20,45 @@
 use crate::error::{Error, Kind, Result};
 use crate::util::sha256;
 
-/// Heartbeat of an upstream.
+/// Request body of an upstream's heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announce {
     /// Unique name within its availability zone.
     pub name: String,
-    /// Number that rises with each restart.
+    /// Incarnation number, which must increase with each restart.
     pub incarnation: u64,
-    /// Service that it answers for.
+    /// Service that it serves.
     pub service: String,
     /// Availability zone.
     pub zone: String,
-    /// Address that takes requests.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Requests that it can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Maximum number of concurrent connections.
     pub connections: u32,
-    /// Whether it takes nothing new.
+    /// Whether it is shutting down and accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests that it runs, by the value of `X-Plantaincross-Sender`.
+    /// Number of running requests by the value of their `X-Plantaincross-Sender` header.
     #[serde(default)]
     pub running: Option<BTreeMap<String, u32>>,
-    /// `seen` of the latest answer to a heartbeat.
+    /// Value of `seen` in the latest response to a heartbeat.
     #[serde(default)]
     pub seen: Option<String>,
 }
 
-/// Answer to an accepted heartbeat.
+/// Response to an accepted heartbeat.
 #[derive(Debug, Serialize)]
 struct Accepted {
     accepted: bool,
-    /// To be repeated in the next heartbeat.
+    /// Time mark that the next heartbeat repeats, so that the zone leader can bound the age of
+    /// the counts in it.
     seen: String,
 }
 
-/// Takes an upstream's heartbeat.
+/// Accepts the heartbeat of an upstream.
 pub async fn announce(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
     match accept(&app, &headers, &body).await {
         Ok(seen) => {
@@ -75,7 +76,7 @@
     let view = app.node.traffic.view.load();
     let zones = &view.config.cell.zones;
     if !zones.is_empty() && !zones.contains(&announce.zone) {
-        let message = format!("no zone {}", announce.zone);
+        let message = format!("unknown zone {}", announce.zone);
         return Err(Error::new(Kind::BadAnnouncement, message));
     }
     let target = Target::Zone(announce.zone.clone());
@@ -99,7 +100,7 @@
     }
 }
 
-/// Takes a worker's poll; answers once there are orders or its wait is over.
+/// Handles a worker's long poll; responds when there are orders or the wait time is over.
 pub async fn poll(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
     let polled = async {
         authorize(&app, &headers)?;
@@ -116,6 +117,7 @@
     }
 }
 
+// Skips counts of senders that are not instances.
 fn by_instance(running: BTreeMap<String, u32>) -> BTreeMap<InstanceId, u32> {
     running
         .into_iter()
@@ -123,11 +125,11 @@
         .collect()
 }
 
-/// Checks the platform's token.
+/// Checks the platform token of a request. An empty token in the settings disables the check.
 ///
 /// # Errors
 ///
-/// Fails with [`Kind::Unauthenticated`] if it is missing or wrong.
+/// Fails with [`Kind::Unauthenticated`] if the token is missing or wrong.
 pub fn authorize(app: &App, headers: &HeaderMap) -> Result<()> {
     let token = &app.node.settings.platform_token;
     if token.is_empty() {
@@ -141,11 +143,11 @@
     Err(Error::new(Kind::Unauthenticated, "wrong platform token"))
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 ///
 /// # Errors
 ///
-/// Fails with [`Kind::BadRequest`] and the place of the mistake.
+/// Fails with [`Kind::BadRequest`] and a message with line and column.
 pub fn parse<T: serde::de::DeserializeOwned>(body: &str) -> Result<T> {
     serde_json::from_str(body).map_err(|err| Error::new(Kind::BadRequest, err.to_string()))
 }
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams: one exchange at a time on each, and none reused
-//! after anything went wrong on it.
+//! Pool of HTTP/1 connections to upstreams and workers. A connection carries one exchange at
+//! a time and is not reused after an error.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,33 +15,34 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time for a connection to come up.
+/// Time limit to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Unacknowledged data closes a connection after this long.
+/// Time after which unacknowledged data closes a connection (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// An idle connection is closed after this long.
+/// Time after which an idle connection is closed.
 const IDLE_MAX: Duration = Duration::from_secs(5);
-/// A connection is proven for non-idempotent requests this long after an exchange.
+/// Longest idle time of a connection that may carry a non-idempotent request. The connection
+/// may have been lost unnoticed, and then such a request cannot be retried.
 const PROVEN_FOR: Duration = Duration::from_millis(500);
-/// Largest head of an answer, in bytes.
+/// Largest head of a response.
 const HEAD_MAX: usize = 64 << 10;
 
-/// A connection that is ready for one exchange.
+/// An open connection without a running exchange.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends the request.
+    /// Sender for the next request.
     pub sender: SendRequest<Full<Bytes>>,
     driver: tokio::task::AbortHandle,
     address: SocketAddr,
     _slot: Slot,
 }
 
-// Counts a connection for as long as it is there.
+// Permit for one open connection, returned when dropped.
 #[derive(Debug)]
 struct Slot(Arc<AtomicUsize>);
 
 impl Slot {
-    // None if `most` are open.
+    // Returns `None` if `most` connections are open.
     fn take(open: &Arc<AtomicUsize>, most: usize) -> Option<Self> {
         let one_more = |count: usize| (count < most).then_some(count + 1);
         open.fetch_update(Ordering::AcqRel, Ordering::Acquire, one_more)
@@ -57,7 +58,7 @@
 }
 
 impl Connection {
-    /// Closes the connection at once.
+    /// Closes the connection immediately, without waiting for a running exchange.
     pub fn close(self) {
         self.driver.abort();
     }
@@ -84,7 +85,7 @@
 }
 
 impl Pool {
-    /// Makes a pool that has at most `most` connections open, in use or idle.
+    /// Creates a pool that keeps at most `most` connections open, in use or idle.
     pub fn with_most(most: usize) -> Self {
         Self {
             idle: Mutex::default(),
@@ -93,17 +94,17 @@
         }
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections, in use or idle.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Takes an idle connection that was proven lately, or opens a new one.
+    /// Returns an idle connection that was used recently enough, or opens a new one.
     ///
     /// # Errors
     ///
-    /// Fails if the upstream cannot be reached or all connections that may be open are in
-    /// use; nothing has been sent then.
+    /// Fails if the upstream cannot be reached or the maximum number of connections is in use.
+    /// No request has been sent in either case.
     pub async fn take(&self, address: SocketAddr, idempotent: bool) -> std::io::Result<Connection> {
         let age_max = if idempotent { IDLE_MAX } else { PROVEN_FOR };
         while let Some(idle) = self.pop(address) {
@@ -116,14 +117,14 @@
         connect(address, self.slot()?).await
     }
 
-    // Idle connections to others make way, the longest idle first.
+    // At the limit, closes idle connections to any address, the longest idle first.
     fn slot(&self) -> std::io::Result<Slot> {
         loop {
             if let Some(slot) = Slot::take(&self.open, self.most) {
                 return Ok(slot);
             }
             let Some(oldest) = self.pop_oldest() else {
-                let message = format!("{} connections are in use", self.most);
+                let message = format!("connection limit reached: {} in use", self.most);
                 return Err(std::io::Error::other(message));
             };
             oldest.connection.close();
@@ -133,7 +134,7 @@
     fn pop_oldest(&self) -> Option<Idle> {
         let mut idle = self.idle.lock().expect("pool lock");
         let lists = idle.iter().filter(|(_, list)| !list.is_empty());
-        // Connections are taken from the end of a list, so that the first is the oldest.
+        // Lists are used as stacks, so the first connection of each has been idle longest.
         let (&address, _) = lists.min_by_key(|(_, list)| list[0].since)?;
         Some(idle.get_mut(&address)?.remove(0))
     }
@@ -143,7 +144,8 @@
         idle.get_mut(&address)?.pop()
     }
 
-    /// Keeps a connection after a whole exchange, if fewer than `keep` are idle.
+    /// Returns a connection to the pool after a complete exchange. Closes it if `keep` idle
+    /// connections to the same address are already pooled.
     pub fn put(&self, connection: Connection, keep: usize) {
         if connection.sender.is_closed() {
             connection.close();
@@ -162,7 +164,7 @@
         });
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         let mut idle = self.idle.lock().expect("pool lock");
         for list in idle.values_mut() {
--- a/src/http/reply.rs
+++ b/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the system itself.
+//! JSON responses that the instance itself makes.
 
 use axum::body::Body;
 use axum::http::{HeaderValue, StatusCode, header};
@@ -7,10 +7,10 @@
 
 use crate::error::{Error, Kind, Run};
 
-/// Header with the id of a request.
+/// Header that carries the id of a request.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Body of every refusal or failure.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 struct Failure<'a> {
     kind: Kind,
@@ -19,21 +19,22 @@
     request: &'a str,
 }
 
-/// A refusal or failure of one request.
+/// An error response to one request.
 #[derive(Debug)]
 pub struct Refused {
-    /// What went wrong.
+    /// Kind and message of the error.
     pub error: Error,
-    /// Request, or empty.
+    /// Id of the request; empty if it has none.
     pub request: String,
-    /// Whether it ran, where that is known better than the kind tells.
+    /// Whether the request ran, if known more precisely than the kind implies.
     pub run: Option<Run>,
-    /// When to come back, where that is known better than the kind tells.
+    /// Retry delay, if known more precisely than the default of the kind; ignored for kinds
+    /// without one.
     pub retry_after: Option<std::time::Duration>,
 }
 
 impl Refused {
-    /// Makes the answer for an error of `request`.
+    /// Returns the error response for the request with id `request`.
     pub fn new(error: impl Into<Error>, request: &str) -> Self {
         Self {
             error: error.into(),
@@ -79,7 +80,7 @@
     }
 }
 
-/// Makes a JSON answer.
+/// Returns a JSON response.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response {
     let mut bytes = serde_json::to_vec(body).expect("answer encodes");
     bytes.push(b'\n');
