--- a/src/change.rs
+++ b/src/change.rs
@@ -1,5 +1,5 @@
-//! What tells one configuration from the one before, so that a small change of a
-//! large configuration travels as a small message.
+//! Differences between configurations, so that a small change to a large configuration is
+//! replicated as a small message.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::config::{Cell, Config, Queue, Service, Team};
 
-/// Changed entries of one kind; `None` removes one.
+/// Changed entries of one section kind by name; `None` marks a removed entry.
 type Entries<T> = BTreeMap<String, Option<T>>;
 
 /// The difference between two configurations.
@@ -21,7 +21,7 @@
 }
 
 impl Change {
-    /// Returns what leads from `old` to `new`.
+    /// Returns the change that turns `old` into `new`.
     pub fn between(old: &Config, new: &Config) -> Self {
         Self {
             cell: (old.cell != new.cell).then(|| new.cell.clone()),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns `old` with this change.
+    /// Returns `old` with this change applied.
     pub fn applied_to(&self, old: &Config) -> Config {
         Config {
             cell: self.cell.clone().unwrap_or_else(|| old.cell.clone()),
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client for the command line, the load command and the stand-ins.
+//! A small HTTP client for the command line, the load generator and the simulated upstreams
+//! and workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,10 +16,10 @@
 
 use crate::error::{Error, Kind, Result};
 
-/// Longest time for a connection to come up.
+/// Time limit to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client of one address, with one connection that is kept open.
+/// A client of one address that keeps one connection open.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -28,7 +29,7 @@
 }
 
 impl Client {
-    /// Makes a client; nothing is opened yet.
+    /// Creates a client. It connects on the first request.
     pub const fn new(address: SocketAddr, token: Option<String>, timeout: Duration) -> Self {
         Self {
             address,
@@ -38,12 +39,12 @@
         }
     }
 
-    /// Sends a request and reads its whole answer. The address is the host, unless
-    /// `headers` name one.
+    /// Sends a request and reads the complete response. The `host` header is the address
+    /// unless `headers` contain another.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does or if the answer takes too long.
+    /// Fails if the request is malformed, the connection fails or the client's timeout passes.
     pub async fn send(
         &mut self,
         method: &str,
@@ -79,11 +80,11 @@
         }
     }
 
-    /// Sends JSON and reads a JSON answer.
+    /// Sends a JSON body and decodes a JSON response.
     ///
     /// # Errors
     ///
-    /// Fails if the exchange does or with what the instance answered.
+    /// Fails if the request cannot be sent, or with the error that the instance returned.
     pub async fn call<T: DeserializeOwned>(
         &mut self,
         method: &str,
@@ -118,11 +119,12 @@
     }
 }
 
-/// Reads a JSON answer, or the error that it holds.
+/// Decodes a JSON response.
 ///
 /// # Errors
 ///
-/// Fails with the answer's own message if its status is not a success.
+/// Fails with the error in the body if the status is not a success, and with
+/// [`Kind::BadAnswer`] if the body cannot be decoded.
 pub fn read<T: DeserializeOwned>(response: &Response<Bytes>) -> Result<T> {
     if response.status().is_success() {
         return serde_json::from_slice(response.body())
@@ -142,7 +144,7 @@
         |message: String| Error::new(Kind::UpstreamUnreachable, format!("{address}: {message}"));
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| unreachable("no connection in time".to_owned()))?
+        .map_err(|_| unreachable("connection timed out".to_owned()))?
         .map_err(|err| unreachable(err.to_string()))?;
     stream
         .set_nodelay(true)
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clocks.
+//! Monotonic and wall clock of the process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,11 +6,12 @@
 
 use crate::core::time::Moment;
 
-/// Clocks start away from zero, so that moments before the start can be told.
+/// Initial reading of the clock: one hour, so that moments before the start of the process can
+/// be represented.
 const ORIGIN_MICROS: u64 = 3_600_000_000;
 
-/// The process's monotonic clock. It goes on while the machine is suspended, so that
-/// no lease outlives a suspension.
+/// Monotonic clock of the process. It keeps running while the machine is suspended
+/// (`CLOCK_BOOTTIME`), so that leases expire during a suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -33,8 +34,8 @@
         Moment(micros.saturating_add(ORIGIN_MICROS))
     }
 
-    /// Returns the instant of a moment, for timers. Timers stand still while the
-    /// machine is suspended.
+    /// Converts a moment to an instant for timers. Timers do not advance while the machine is
+    /// suspended.
     pub fn instant(&self, at: Moment) -> Instant {
         let micros = at.0.saturating_sub(ORIGIN_MICROS);
         self.origin + std::time::Duration::from_micros(micros)
@@ -49,7 +50,7 @@
     seconds * MICROS + nanos / 1_000
 }
 
-/// Returns the milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration: a folder of INI files, merged in the order of
-//! their names into one canonical form.
+//! Cluster configuration: a folder of INI files that are merged in the order of their names
+//! into one canonical form.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,57 +9,58 @@
 pub use crate::merge::{Fault, Source, is_name, line_of, merge, read_folder};
 use crate::util::sha256;
 
-/// Largest share of a team.
+/// Largest share that a team can have.
 pub const SHARE_MAX: u32 = 1_000_000;
 /// Longest name of a team, service, queue or zone, in bytes.
 pub const NAME_MAX: usize = 64;
 
-/// What an instance does with a key that it cannot verify.
+/// Treatment of a key that an instance cannot verify against the root group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StaleKeys {
-    /// Refuses it as not run.
+    /// Refuses the request, which does not run.
     #[default]
     Refuse,
-    /// Takes it, though it may have been withdrawn.
+    /// Accepts the key although it may have been withdrawn.
     Serve,
 }
 
-/// How tasks of a queue are placed.
+/// Placement policy of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Fills workers up one after the other.
+    /// Bin packing: prefers workers that are already in use.
     #[default]
     Pack,
-    /// Spreads over racks and workers.
+    /// Spreads tasks over racks and workers.
     Spread,
 }
 
-/// Which team's task starts first when several wait.
+/// Order in which waiting tasks of different teams are started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// The team furthest below its share first.
+    /// Fair share: the team furthest below its share first.
     #[default]
     Share,
     /// The task that has waited longest relative to its run time first.
     Wait,
 }
 
-/// Settings of the whole cell.
+/// Settings of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cell {
-    /// Availability zones that may exist; empty admits any.
+    /// Permitted availability zones; empty permits any.
     pub zones: Vec<String>,
-    /// Upper bound of any team's limit; zero leaves it open.
+    /// Upper bound of every team's limit; zero means none.
     pub fleet: u64,
-    /// How old the last word of the root group may be for a key to be taken.
+    /// Longest time since the last confirmed contact with the root group for which keys still
+    /// count as verified.
     pub freshness: Duration,
-    /// How long the answer to a claimed request is kept.
+    /// Time for which the outcome of a claimed request is kept.
     pub claim_retention: Duration,
-    /// How tasks of different teams are ordered.
+    /// Order of waiting tasks of different teams.
     pub order: Order,
 }
 
@@ -75,35 +76,35 @@
     }
 }
 
-/// A team.
+/// Settings of a team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Weight when the fleet is full.
+    /// Fair-share weight, which applies when capacity is scarce.
     pub share: u32,
-    /// Upper limit on running requests and tasks over the fleet.
+    /// Maximum number of running requests and tasks in the whole fleet.
     pub limit: u64,
-    /// What instances do with its keys when these cannot be verified.
+    /// Treatment of its keys when they cannot be verified.
     pub stale_keys: StaleKeys,
 }
 
-/// A service that upstreams answer for.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Deadline of a request that names none.
+    /// Deadline of a request without an `X-Deadline-Ms` header.
     pub deadline: Duration,
-    /// Longest time that an upstream works on a request once it was sent.
+    /// Longest time that an upstream may work on a request after it was sent.
     pub run_limit: Duration,
     /// Largest body of a request, in bytes.
     pub body_limit: u64,
-    /// Largest body of an answer, in bytes.
+    /// Largest body of a response, in bytes.
     pub answer_limit: u64,
-    /// Requests that one team may have waiting at one entry instance.
+    /// Maximum number of requests of one team that wait at one entry instance.
     pub queue_limit: usize,
-    /// Whether POST counts as idempotent.
+    /// Whether POST requests count as idempotent by default.
     pub post_idempotent: bool,
-    /// Team that requests without a key count for; none admits only keys.
+    /// Team to which requests without a key are accounted. If none, a key is required.
     pub open: Option<String>,
 }
 
@@ -121,21 +122,21 @@
     }
 }
 
-/// A queue for jobs.
+/// Settings of a job queue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Queue {
-    /// How its tasks are placed.
+    /// Placement policy of its tasks.
     pub policy: Policy,
-    /// Team that jobs without a key count for; none admits only keys.
+    /// Team to which jobs without a key are accounted. If none, a key is required.
     pub open: Option<String>,
 }
 
-/// The merged configuration.
+/// A merged configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Settings of the whole cell.
+    /// Settings of the cell.
     pub cell: Cell,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
@@ -146,7 +147,7 @@
 }
 
 impl Config {
-    /// Returns the digest of the canonical form.
+    /// Returns the SHA-256 digest of the canonical form.
     pub fn digest(&self) -> [u8; 32] {
         let bytes = postcard::to_allocvec(self).expect("configuration encodes");
         sha256(&bytes)
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Error kinds and their mapping to HTTP responses.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Whether the work of a refused or failed request ran.
+/// Whether a refused or failed request ran at an upstream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// It surely did not run and will not run.
+    /// It did not run and will not run.
     #[display("not_run")]
     NotRun,
     /// It may have run.
@@ -21,7 +21,7 @@
     Ran,
 }
 
-/// Every way in which a request, a job or an operator's command can fail.
+/// Kinds of failure of requests, jobs and operator commands.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -30,70 +30,70 @@
 pub enum Kind {
     /// The request is malformed.
     BadRequest,
-    /// No key, or one that was never given.
+    /// The key is missing or unknown.
     Unauthenticated,
     /// The key has been withdrawn.
     KeyWithdrawn,
-    /// This instance cannot know whether the key still holds.
+    /// This instance cannot verify whether the key is still valid.
     KeyUnverified,
-    /// The key may not do this.
+    /// The key does not permit the operation.
     Forbidden,
-    /// No such service.
+    /// The service does not exist.
     UnknownService,
-    /// No such job, key, upstream or page.
+    /// The job, key, upstream or path does not exist.
     NotFound,
-    /// The body is over its limit.
+    /// The request body exceeds its size limit.
     BodyTooLarge,
-    /// The body or the headers came too slowly.
+    /// The headers or the body did not arrive in time.
     SlowRequest,
     /// The team's queue is full.
     Overloaded,
-    /// The wait would outlive the deadline.
+    /// The request would wait beyond its deadline.
     DeadlineUnmeetable,
-    /// The deadline passed while the request ran.
+    /// The deadline passed while the request was running.
     DeadlineExceeded,
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Draining,
     /// No upstream could be reached and nothing was sent.
     UpstreamUnreachable,
-    /// The exchange with the upstream broke off.
+    /// The exchange with the upstream failed after the request was sent.
     UpstreamFailed,
-    /// The upstream's answer was cut short, oversized or not its own.
+    /// The upstream's response was truncated, too large or belongs to another request.
     BadAnswer,
-    /// An earlier request under the same id is still running.
+    /// An earlier request with the same id is still running.
     InProgress,
-    /// An earlier request under the same id had another body.
+    /// An earlier request with the same id had different content.
     IdReused,
-    /// An earlier request under the same id ran, and its answer is not kept.
+    /// An earlier request with the same id ran, but its response was not stored.
     AnswerNotKept,
-    /// Whether a request under this id ran before cannot be known.
+    /// It cannot be determined whether an earlier request with the same id ran.
     ClaimUnknown,
-    /// The claim could not be recorded; this id never ran.
+    /// The claim could not be recorded, so this request was not sent.
     ClaimUnavailable,
-    /// Another configuration won this version.
+    /// The pushed configuration does not replace the version in force.
     VersionConflict,
     /// The configuration has errors.
     InvalidConfig,
     /// The job or task can never run.
     Unplaceable,
-    /// The control state cannot be reached.
+    /// The leader or quorum that must handle the operation cannot be reached.
     NoQuorum,
-    /// An announcement is not credible.
+    /// The heartbeat of an upstream or the poll of a worker is invalid.
     BadAnnouncement,
-    /// A fault of the instance itself.
+    /// An internal error of the instance.
     Internal,
 }
 
-/// One row of the table from kind to answer.
+/// HTTP response of an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Name in the JSON body.
+    /// Name of the kind in the JSON body.
     pub name: &'static str,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Whether the work ran.
+    /// Whether the request ran, unless known more precisely.
     pub run: Run,
-    /// Advice on when to come back, where that helps.
+    /// Default of the `Retry-After` header, for kinds where a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl Kind {
-    /// All kinds, in the order of the table.
+    /// All kinds in the order of their declaration.
     pub const ALL: [Self; 27] = [
         Self::BadRequest,
         Self::Unauthenticated,
@@ -142,7 +142,7 @@
         Self::Internal,
     ];
 
-    /// Returns the answer that belongs to this kind.
+    /// Returns the HTTP response for this kind.
     pub const fn answer(self) -> Answer {
         use Run::{NotRun, Ran, Unknown};
         match self {
@@ -177,22 +177,22 @@
     }
 }
 
-/// An error with its kind and a message for the person who caused it.
+/// An error with its kind and a message for the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(display("{message}"))]
 #[serde(deny_unknown_fields)]
 pub struct Error {
     /// Kind of the error.
     pub kind: Kind,
-    /// What went wrong, in one line.
+    /// One-line description of the failure.
     pub message: String,
 }
 
-/// Result with the crate's error.
+/// Result whose default error type is [`Error`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Makes an error.
+    /// Creates an error from a kind and a message.
     pub fn new(kind: Kind, message: impl Into<String>) -> Self {
         Self {
             kind,
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,15 +1,15 @@
-//! Numbered events, their clock and the bounded ring that keeps them.
+//! Event log of an instance: numbered events, a hybrid logical clock, and a bounded ring buffer.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// Events that one process keeps.
+/// Maximum number of events that one process keeps.
 pub const RING_MAX: usize = 20_000;
 
 macro_rules! events {
     ($($(#[$doc:meta])* $number:literal $name:ident { $($(#[$fdoc:meta])* $field:ident: $ty:ty),* $(,)? })*) => {
-        /// Everything that is worth a line on the time line.
+        /// Events recorded in the event log.
         #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
         #[serde(tag = "event", rename_all = "snake_case")]
         pub enum Event {
@@ -17,10 +17,10 @@
         }
 
         impl Event {
-            /// Numbers and names of all events, in the order of the catalogue.
+            /// Numbers and names of all events, in the order of their declaration.
             pub const CATALOGUE: &'static [(u16, &'static str)] = &[$(($number, stringify!($name))),*];
 
-            /// Returns the number of the event.
+            /// Returns the number of the event, which is stable across versions.
             pub const fn number(&self) -> u16 {
                 match self { $(Self::$name { .. } => $number),* }
             }
@@ -39,206 +39,206 @@
         /// Version of the program.
         version: String,
     }
-    /// A planned stop has begun.
+    /// A graceful shutdown has begun.
     101 Draining {}
-    /// The process ends.
+    /// A graceful shutdown has finished and the process ends.
     102 Stopped {}
-    /// The process was paused for longer than its leases allow.
+    /// The control thread did not run for more than 1 s.
     103 Paused {
-        /// Length of the pause.
+        /// Length of the pause in milliseconds.
         millis: u64,
     }
-    /// A link to a peer is up.
+    /// The first link to a peer is up.
     110 PeerUp {
         /// Name of the peer.
         peer: String,
     }
-    /// A link to a peer is down.
+    /// The last link to a peer is down.
     111 PeerDown {
         /// Name of the peer.
         peer: String,
     }
-    /// A connection failed to prove that it belongs to the cell.
+    /// A connection was refused because it failed the handshake.
     112 PeerRefused {
-        /// Reason.
+        /// Reason of the refusal.
         reason: String,
     }
-    /// This instance now leads the root group.
+    /// This instance became leader of the root group.
     120 RootLed {
-        /// Term.
+        /// Leadership term.
         term: u64,
     }
-    /// This instance no longer leads the root group.
+    /// This instance is no longer leader of the root group.
     121 RootLost {
-        /// Term.
+        /// Leadership term that ended.
         term: u64,
     }
     /// The voters of the root group changed.
     122 VotersChanged {
-        /// Names of the voters.
+        /// Names of the new voters.
         voters: String,
     }
-    /// A snapshot of another replica was loaded.
+    /// A snapshot received from another replica was loaded.
     123 SnapshotLoaded {
-        /// Index of its last entry.
+        /// Index of the last log entry that it covers.
         index: u64,
     }
-    /// This instance may now act as leader of its zone.
+    /// This instance may act as leader of its zone from now on.
     130 ZoneLed {
-        /// Zone.
+        /// Name of the zone.
         zone: String,
-        /// Term.
+        /// Leadership term.
         term: u64,
     }
     /// This instance may no longer act as leader of its zone.
     131 ZoneLost {
-        /// Zone.
+        /// Name of the zone.
         zone: String,
-        /// Term.
+        /// Leadership term that ended.
         term: u64,
     }
     /// A configuration is in force at this instance.
     140 ConfigInForce {
-        /// Version.
+        /// Version of the configuration.
         version: u64,
     }
-    /// A key is known to be withdrawn at this instance.
+    /// The withdrawal of a key is in force at this instance.
     141 KeyWithdrawn {
         /// Name of the key.
         key: String,
     }
-    /// An upstream is taken.
+    /// An upstream was added.
     150 UpstreamUp {
         /// Name of the upstream.
         upstream: String,
     }
-    /// An upstream gets nothing new.
+    /// An upstream gets no new requests.
     151 UpstreamLeaving {
         /// Name of the upstream.
         upstream: String,
     }
-    /// A request was taken.
+    /// A request was received and authenticated.
     200 RequestTaken {
-        /// Request.
+        /// Id of the request.
         request: String,
-        /// Team.
+        /// Team of the caller.
         team: String,
-        /// Service.
+        /// Name of the service.
         service: String,
     }
-    /// A request waits for capacity.
+    /// A request was queued because there is no free capacity.
     201 RequestQueued {
-        /// Request.
+        /// Id of the request.
         request: String,
     }
-    /// A request was sent.
+    /// A request was sent to an upstream.
     202 RequestSent {
-        /// Request.
+        /// Id of the request.
         request: String,
-        /// Upstream.
+        /// Name of the upstream.
         upstream: String,
     }
-    /// A request is tried again.
+    /// A request is retried at another upstream.
     203 RequestRetried {
-        /// Request.
+        /// Id of the request.
         request: String,
     }
-    /// A request was answered whole.
+    /// A complete response was returned to the caller.
     204 RequestAnswered {
-        /// Request.
+        /// Id of the request.
         request: String,
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Time since it was taken.
+        /// Time since the request arrived, in milliseconds.
         millis: u64,
     }
     /// A request was refused or failed.
     205 RequestRefused {
-        /// Request.
+        /// Id of the request.
         request: String,
         /// Kind of the error.
         kind: String,
     }
-    /// A request id was claimed.
+    /// A request id was claimed at its home zone.
     210 RequestClaimed {
-        /// Request.
+        /// Id of the request.
         request: String,
         /// Home zone of the claim.
         home: String,
     }
     /// A job was registered.
     300 JobSubmitted {
-        /// Job.
+        /// Id of the job.
         job: u64,
-        /// Team.
+        /// Team that submitted it.
         team: String,
     }
     /// A job ended.
     301 JobEnded {
-        /// Job.
+        /// Id of the job.
         job: u64,
-        /// How it ended.
+        /// Final state.
         state: String,
     }
-    /// A task was given to a worker.
+    /// A task was placed on a worker.
     310 TaskPlaced {
-        /// Task.
+        /// Id of the task.
         task: String,
-        /// Worker.
+        /// Name of the worker.
         worker: String,
     }
     /// A task ended.
     311 TaskEnded {
-        /// Task.
+        /// Id of the task.
         task: String,
-        /// Whether it ended well.
+        /// Whether it ended successfully.
         ok: bool,
     }
-    /// A task was told to make way for urgent work or to spare its worker.
+    /// A task was evicted, to make room for urgent work or to relieve its worker.
     312 TaskEvicted {
-        /// Task.
+        /// Id of the task.
         task: String,
-        /// Worker.
+        /// Name of the worker.
         worker: String,
-        /// Reason.
+        /// Reason of the eviction.
         reason: String,
     }
-    /// A task's worker was silent until its lease ran out.
+    /// The lease of a task expired because its worker did not poll.
     313 TaskLost {
-        /// Task.
+        /// Id of the task.
         task: String,
-        /// Worker.
+        /// Name of the worker.
         worker: String,
     }
-    /// A worker is taken.
+    /// A worker was added.
     320 WorkerUp {
-        /// Worker.
+        /// Name of the worker.
         worker: String,
     }
-    /// A worker is silent.
+    /// A worker has stopped polling.
     321 WorkerSilent {
-        /// Worker.
+        /// Name of the worker.
         worker: String,
     }
-    /// A worker fails what it starts and gets nothing new for a while.
+    /// A worker was quarantined because tasks fail on it, and gets no new ones.
     322 WorkerQuarantined {
-        /// Worker.
+        /// Name of the worker.
         worker: String,
-        /// Length of the quarantine.
+        /// Length of the quarantine in milliseconds.
         millis: u64,
     }
 }
 
-/// Time that orders events over processes: wall clock, made monotone across
-/// messages.
+/// Timestamp of a hybrid logical clock, which orders events across processes consistently with
+/// the messages between them.
 ///
-/// Source: Kulkarni et al., Logical Physical Clocks (hybrid logical clock).
+/// Source: Kulkarni et al., Logical Physical Clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stamp {
     /// Milliseconds since the Unix epoch.
     pub millis: u64,
-    /// Order within the millisecond.
+    /// Counter that orders events with equal `millis`.
     pub count: u32,
 }
 
@@ -256,30 +256,30 @@
         }
     }
 
-    /// Returns the stamp after a message with stamp `other` came at wall time `millis`.
+    /// Returns the stamp after a message with stamp `other` arrived at wall time `millis`.
     #[must_use]
     pub fn merge(self, other: Self, millis: u64) -> Self {
         self.max(other).next(millis)
     }
 }
 
-/// An event with its time and place.
+/// An event with its time, position and instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
+    /// Time of the event.
     pub at: Stamp,
-    /// Position in the ring of its instance; rises by one with each event.
+    /// Sequence number at its instance, which increases by one with each event.
     pub seq: u64,
     /// Name of the instance.
     pub instance: String,
-    /// Number of the event.
+    /// Number of the kind of event.
     pub number: u16,
-    /// What.
+    /// Event with its fields.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// The latest events of one process.
+/// Ring buffer of the latest events of one process.
 #[derive(Debug)]
 pub struct Ring {
     instance: String,
@@ -289,7 +289,7 @@
 }
 
 impl Ring {
-    /// Makes an empty ring.
+    /// Creates an empty ring.
     pub const fn new(instance: String) -> Self {
         Self {
             instance,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Adds an event at wall time `millis`; the oldest makes way when full.
+    /// Adds an event at wall time `millis`, and drops the oldest if the ring is full.
     pub fn push(&mut self, millis: u64, event: Event) {
         self.last = self.last.next(millis);
         if self.records.len() == RING_MAX {
@@ -318,7 +318,7 @@
         self.next += 1;
     }
 
-    /// Takes the stamp that came with a message.
+    /// Merges the stamp of a message that arrived at wall time `millis`.
     pub fn hear(&mut self, other: Stamp, millis: u64) {
         self.last = self.last.merge(other, millis);
     }
@@ -328,7 +328,7 @@
         self.last
     }
 
-    /// Returns up to `max` records with a position after `seq`.
+    /// Returns up to `max` records with a sequence number above `seq`, oldest first.
     pub fn after(&self, seq: u64, max: usize) -> Vec<Record> {
         let first = self.records.front().map_or(0, |r| r.seq);
         let skip = usize::try_from((seq + 1).saturating_sub(first)).unwrap_or(usize::MAX);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! A cluster scheduler for teams that share one fleet.
+//! A cluster scheduler for teams that share one fleet of upstreams and workers.
 
 pub mod cell;
 pub mod change;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Where log lines go.
+//! Logging setup.
 
 use std::path::Path;
 
@@ -13,11 +13,11 @@
 
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}";
 
-/// Sends log lines to a file, or to standard error without one.
+/// Initializes logging to a file, or to standard error if `file` is `None`.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be opened or logging was set up before.
+/// Fails if the file cannot be opened or logging was already initialized.
 pub fn init(file: Option<&Path>, level: LevelFilter) -> Result<()> {
     let encoder = Box::new(PatternEncoder::new(PATTERN));
     let appender: Box<dyn Append> = match file {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command line for operators.
 
 use std::process::ExitCode;
 
--- a/src/merge.rs
+++ b/src/merge.rs
@@ -1,4 +1,4 @@
-//! Reading, merging and checking of a configuration folder.
+//! Reads, merges and validates a configuration folder.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,9 +19,9 @@
 pub struct Fault {
     /// File name within the folder.
     pub file: String,
-    /// Line number from 1, or 0 if it concerns the whole file.
+    /// Line number from 1, or 0 if the error concerns the whole file.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -37,11 +37,11 @@
 pub struct Source {
     /// File name within the folder.
     pub name: String,
-    /// Content.
+    /// Content of the file.
     pub text: String,
 }
 
-/// Reads the `.ini` files of a folder in the order of their names.
+/// Reads the `.ini` files of a folder, sorted by name.
 ///
 /// # Errors
 ///
@@ -65,11 +65,11 @@
     Ok(sources)
 }
 
-/// Merges files in the given order.
+/// Merges files in the given order; later values override earlier ones.
 ///
 /// # Errors
 ///
-/// Returns every fault found, in the order of files and lines.
+/// Returns all errors found, sorted by file and line.
 pub fn merge(sources: &[Source]) -> Result<Config, Vec<Fault>> {
     let mut merger = Merger::default();
     for source in sources {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Where a value came from, for errors found after merging.
+/// File and line of a value, for errors found after merging.
 #[derive(Clone, Debug)]
 struct Place {
     file: String,
@@ -95,6 +95,7 @@
 struct Merger {
     config: Config,
     faults: Vec<Fault>,
+    /// Places by section and key; the key is empty for the section itself.
     places: BTreeMap<(String, String), Place>,
 }
 
@@ -352,13 +353,15 @@
     }
 }
 
-/// Returns whether `name` may name a team, service, queue, zone or instance.
+/// Returns whether `name` is valid for a team, service, queue, zone, instance, key or job:
+/// letters, digits, `-`, `_` and `.`, with limited length.
 pub fn is_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     !name.is_empty() && name.len() <= NAME_MAX && name.bytes().all(allowed)
 }
 
-/// Finds the line, from 1, of the `nth` section of a name or of a key in it.
+/// Returns the line number, from 1, of the `nth` section (from 0) with the given name, or of a
+/// key in it. Returns 0 if there is none.
 pub fn line_of(text: &str, section: &str, nth: usize, key: Option<&str>) -> usize {
     let mut inside = section.is_empty();
     let mut left = nth;
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -19,9 +19,9 @@
 use crate::error::Kind;
 use crate::net::Counters;
 
-/// Length of the window over which nearness to share is measured.
+/// Length of the window over which shortfalls from fair shares are measured.
 const NEARNESS_WINDOW: Duration = Duration::from_secs(10);
-/// Longest waiting time that is told apart, in microseconds.
+/// Longest waiting time that the totals distinguish, one hour; longer ones count as this.
 const MAX_WAIT_MICROS: u64 = 3_600_000_000;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -36,7 +36,7 @@
 
 type Fraction = Gauge<f64, AtomicU64>;
 
-/// What one instance counts.
+/// Metrics of one instance.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
@@ -59,12 +59,12 @@
     totals: Mutex<Totals>,
 }
 
-/// What an instance has counted since its start.
+/// Statistics since the start of the instance, for reports of load tests.
 #[derive(Clone, Debug)]
 pub struct Totals {
-    /// Waiting times in microseconds.
+    /// Waiting times of admitted requests, in microseconds.
     pub waiting: hdrhistogram::Histogram<u64>,
-    /// Refusals and failures by kind.
+    /// Number of refusals and failures by kind.
     pub refused: BTreeMap<Kind, u64>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl Totals {
-    /// Adds the totals of another instance.
+    /// Adds the statistics of another instance.
     pub fn add(&mut self, other: &Self) {
         self.waiting.add(&other.waiting).expect("grows as needed");
         for (kind, count) in &other.refused {
@@ -89,7 +89,7 @@
 
 impl Default for Metrics {
     fn default() -> Self {
-        // From 1 ms to about 16 s.
+        // Buckets from 1 ms to about 16 s.
         let waiting = Histogram::new(exponential_buckets(0.001, 2.0, 15));
         let mut metrics = Self {
             registry: Mutex::default(),
@@ -189,16 +189,16 @@
         registry
     }
 
-    /// Counts the waiting time of a request that got its slot.
+    /// Records the waiting time of a request that got a slot.
     pub fn waited(&self, time: Duration) {
         self.waiting.observe(time.as_secs_f64());
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let mut totals = self.totals.lock().expect("totals lock");
-        // Longer than the histogram can tell is of no interest.
+        // The histogram resizes itself and the value is bounded, so recording cannot fail.
         let _ = totals.waiting.record(micros.min(MAX_WAIT_MICROS));
     }
 
-    /// Returns what was counted since the start.
+    /// Returns the statistics since the start of the instance.
     pub fn totals(&self) -> Totals {
         self.totals.lock().expect("totals lock").clone()
     }
@@ -218,7 +218,7 @@
         self.retries.inc();
     }
 
-    /// Takes the figures of all teams into the measure of nearness to share.
+    /// Samples the usage of all teams, and updates the shortfall gauges at the end of a window.
     pub fn sample(&self, now: Moment, teams: &[TeamStat]) {
         let mut nearness = self.nearness.lock().expect("nearness lock");
         if let Some((max, mean)) = nearness.sample(now, teams) {
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Returns all metrics as text.
+    /// Updates the gauges from the given values and returns all metrics in the Prometheus text
+    /// format. `slots` are the slots in use and those allotted.
     pub fn encode(&self, teams: &[TeamStat], slots: (u64, u64), links: &Counters) -> String {
         for team in teams {
             let label = ByTeam {
@@ -256,7 +257,7 @@
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
 }
 
-/// How near teams came to their shares of slot time in the latest window.
+/// Measures how far teams fell short of their fair shares of slot time in a window.
 #[derive(Debug, Default)]
 pub struct Nearness {
     since: Moment,
@@ -265,8 +266,9 @@
 }
 
 impl Nearness {
-    /// Takes the figures of all teams; at the end of a window yields the largest
-    /// and the mean shortfall of teams with demand.
+    /// Samples the usage of all teams. At the end of a window, returns the largest shortfall and
+    /// the mean over the teams that used slots. A team with waiting requests at any sample counts
+    /// as having unlimited demand.
     pub fn sample(&mut self, now: Moment, teams: &[TeamStat]) -> Option<(f64, f64)> {
         for team in teams {
             let starved = self.starved.entry(team.team.clone()).or_default();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,44 +10,44 @@
 use crate::error::{Error, Kind, Result};
 use crate::util::parse_duration;
 
-/// Shortest accepted secret, in bytes.
+/// Minimum length of the cell's secret.
 const SECRET_MIN: usize = 16;
 
 /// Settings of one instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name, unique in the cell.
+    /// Name of the instance, unique in the cell.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Address for callers, the platform and operators.
+    /// Listen address for callers, the platform and operators.
     pub http: SocketAddr,
-    /// Address for peers; must be reachable by them as written.
+    /// Listen address for peers, which is also advertised to them.
     pub peer: SocketAddr,
-    /// Peer addresses of some other instances.
+    /// Peer addresses of other instances, to join the cell.
     pub seeds: Vec<String>,
-    /// Secret that all instances of the cell share.
+    /// Secret shared by all instances of the cell.
     pub secret: Vec<u8>,
-    /// Token that upstreams and workers present; empty admits all.
+    /// Bearer token of upstreams and workers; empty disables the check.
     pub platform_token: String,
-    /// Data folder, on instances with a disk.
+    /// Data folder; `None` on instances without a disk.
     pub data: Option<PathBuf>,
-    /// Names of the instances that found the root group.
+    /// Names of the instances that bootstrap the root group.
     pub founders: Vec<String>,
-    /// A voter that was silent for longer is replaced by a spare.
+    /// Silence of a voter after which a spare replaces it.
     pub replace_after: Duration,
-    /// How long a planned stop goes on serving after it was announced.
+    /// Time for which a graceful shutdown goes on serving new requests.
     pub drain_notice: Duration,
-    /// Longest time for a planned stop.
+    /// Longest wait of a graceful shutdown for running requests.
     pub drain_limit: Duration,
-    /// Log file; logs go to standard error without one.
+    /// Log file; `None` logs to standard error.
     pub log: Option<PathBuf>,
-    /// Connections from callers at once.
+    /// Maximum number of concurrent connections from callers.
     pub connections: usize,
 }
 
 impl Settings {
-    /// Returns settings with defaults for everything that need not be given.
+    /// Returns settings with defaults for everything optional.
     pub fn new(name: &str, zone: &str, http: SocketAddr, peer: SocketAddr, secret: &[u8]) -> Self {
         Self {
             name: name.to_owned(),
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with `file:line: message` for the first thing that is wrong.
+    /// Fails with `file:line: message` for the first error.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .map_err(|err| invalid(format!("{}: {err}", path.display())))?;
@@ -121,7 +121,7 @@
             ("cell", "platform-token-file") => {
                 let token = read_secret(Path::new(value))?;
                 self.platform_token =
-                    String::from_utf8(token).map_err(|_| format!("{value} is not text"))?;
+                    String::from_utf8(token).map_err(|_| format!("{value} is not valid UTF-8"))?;
             }
             ("cell", "replace-after") => self.replace_after = parse_duration(value)?,
             ("drain", "notice") => self.drain_notice = parse_duration(value)?,
@@ -150,7 +150,7 @@
     }
 }
 
-/// Reads a secret from a file, without white space around it.
+/// Reads a secret from a file, without leading and trailing ASCII whitespace.
 ///
 /// # Errors
 ///
@@ -164,7 +164,7 @@
     if is_name(value) {
         Ok(value.to_owned())
     } else {
-        Err(format!("`{value}` is not a name"))
+        Err(format!("`{value}` is not a valid name"))
     }
 }
 
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers without a better home.
+//! Hashing, and parsing of durations and sizes.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
     Sha256::digest(bytes).into()
 }
 
-/// Returns the first eight bytes of the SHA-256 digest of `bytes` as a number.
+/// Returns the first eight bytes of the SHA-256 digest of `bytes` as a little-endian number.
 pub fn hash64(bytes: &[u8]) -> u64 {
     let digest = sha256(bytes);
     u64::from_le_bytes(digest[..8].try_into().expect("eight of 32 bytes"))
 }
 
-/// Returns the escrow cell that belongs to `name`.
+/// Returns the id under which escrow accounts for the units of `name`.
 pub fn cell_named(name: &str) -> Cell {
     Cell(hash64(name.as_bytes()))
 }
 
-/// Reads a duration such as `250ms`, `2s`, `5m` or `1h`.
+/// Parses a duration such as `250ms`, `2s`, `5m` or `1h`.
 ///
 /// # Errors
 ///
-/// Returns a message if the number or the unit is missing or unknown.
+/// Returns a message if the number is missing or too large, or the unit is unknown.
 pub fn parse_duration(text: &str) -> Result<Duration, String> {
     let (number, unit) = split_unit(text)?;
     let millis = match unit {
@@ -42,11 +42,12 @@
         .ok_or_else(|| format!("`{text}` is too long"))
 }
 
-/// Reads a size such as `512KB`, `64MB` or `128GB` as a number of bytes.
+/// Parses a size such as `512KB`, `64MB` or `128GB` and returns the number of bytes. Units are
+/// powers of 1024.
 ///
 /// # Errors
 ///
-/// Returns a message if the number or the unit is missing or unknown.
+/// Returns a message if the number is missing or too large, or the unit is unknown.
 pub fn parse_size(text: &str) -> Result<u64, String> {
     let (number, unit) = split_unit(text)?;
     let factor = match unit {
