--- a/src/event.rs
+++ b/src/event.rs
@@ -20,7 +20,7 @@
             /// Numbers and names of all events, in the order of their declaration.
             pub const CATALOGUE: &'static [(u16, &'static str)] = &[$(($number, stringify!($name))),*];
 
-            /// Returns the number of the event, which is stable across versions.
+            /// Returns the number of the event, as listed in the catalogue.
             pub const fn number(&self) -> u16 {
                 match self { $(Self::$name { .. } => $number),* }
             }
@@ -43,7 +43,7 @@
     101 Draining {}
     /// A graceful shutdown has finished and the process ends.
     102 Stopped {}
-    /// The control thread did not run for more than 1 s.
+    /// The process was paused for more than 1 s, which may outlast its leases.
     103 Paused {
         /// Length of the pause in milliseconds.
         millis: u64,
