--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Merging and checking of configuration folders.
+//! Merging and validation of configuration folders.
 
 use plantaincross::change::Change;
 use plantaincross::config::{Source, merge};
@@ -76,7 +76,7 @@
     let two = merge(&[source("a.ini", &text(2))]).expect("merges");
     let command = Command::push(1, &one, &two, "operator");
     let size = postcard::to_allocvec(&command).expect("encodes").len();
-    // 18,000 changes a day go to 21 instances out of 5 KB a second.
+    // 18,000 changes a day are replicated to 21 instances within 5 KB per second.
     assert!(size < 1_100, "{size} bytes");
 }
 
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,4 +1,5 @@
-//! Figures of a cell of nine daemons in four zones, each against its stated bound.
+//! Performance figures of a cell of nine daemons in four zones, checked against their bounds.
+//! The results depend on the machine, so these tests are ignored by default. Run them with:
 //!
 //! `cargo test --release --test figures -- --ignored --nocapture --test-threads 1`
 
@@ -20,7 +21,7 @@
     assert!(value <= bound, "{name}");
 }
 
-/// Processor time of a process so far, and its resident memory in bytes.
+/// Returns the CPU time that a process has used, and its resident memory in bytes.
 fn cost(pid: u32) -> (Duration, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("stat");
     let fields: Vec<&str> = stat
@@ -51,8 +52,8 @@
         .expect("number")
 }
 
-/// Returns the highest cost of any instance over `length`: percent of a core, bytes
-/// of memory, bytes sent a second.
+/// Returns the highest resource usage of any instance over `length`: CPU in percent of a core,
+/// resident memory in bytes, and bytes sent per second.
 async fn highest_of(cell: &Cell, length: Duration) -> (f64, u64, u64) {
     let mut before = Vec::new();
     for at in 0..cell.instances.len() {
@@ -98,7 +99,7 @@
             }
             slowest = slowest.max(started.elapsed());
         }
-        show("push to in force at 9 instances, slowest of 10", slowest, Duration::from_secs(7));
+        show("push until in force at 9 instances, slowest of 10", slowest, Duration::from_secs(7));
         let mut slowest = Duration::ZERO;
         for round in 0..5 {
             let key = format!("doomed-{round}");
@@ -118,7 +119,7 @@
             }
             slowest = slowest.max(started.elapsed());
         }
-        show("withdrawal to dead at 9 instances, slowest of 5", slowest, Duration::from_secs(3));
+        show("withdrawal until in force everywhere, slowest of 5", slowest, Duration::from_secs(3));
     }
 
     async fn fail_over() {
@@ -138,7 +139,7 @@
             version = cell.status(other).await.first().map_or(version, |s| s.version);
             assert!(started.elapsed() < PATIENCE);
         }
-        show("root leader killed to the next accepted push", started.elapsed(), Duration::from_secs(3));
+        show("root leader killed until next accepted push", started.elapsed(), Duration::from_secs(3));
         cell.restart(at);
         cell.wait_serving(at).await;
         sleep(Duration::from_secs(2)).await;
@@ -153,17 +154,17 @@
             }
             assert!(started.elapsed() < PATIENCE);
         }
-        show("zone leader killed to the next one acting", started.elapsed(), Duration::from_secs(3));
+        show("zone leader killed until the next one acts", started.elapsed(), Duration::from_secs(3));
     }
 
     async fn cost_of_control() {
         let cell = Cell::serving(&NINE, 2, Duration::from_millis(5)).await;
         sleep(Duration::from_secs(3)).await;
         let (cpu, memory, bytes) = highest_of(&cell, Duration::from_secs(10)).await;
-        println!("idle: {cpu:.2} % of a core, {:.1} MB, {bytes} B/s at most", memory as f64 / 1e6);
+        println!("idle, highest of all instances: {cpu:.2} % of a core, {:.1} MB, {bytes} B/s", memory as f64 / 1e6);
         assert!(cpu <= 1.8, "{cpu} %");
         assert!(memory <= 32 << 20, "{memory} bytes");
-        assert!(bytes <= 5_000, "{bytes} bytes a second");
+        assert!(bytes <= 5_000, "{bytes} bytes per second");
     }
 
     async fn commit_latency_against_its_floor() {
@@ -204,7 +205,7 @@
             async move { cell.give("big", &key, None).await }
         });
         futures_util::future::join_all(gives).await;
-        println!("commits a second, 500 at once: {:.0}", 500.0 / started.elapsed().as_secs_f64());
+        println!("commits per second, 500 concurrent: {:.0}", 500.0 / started.elapsed().as_secs_f64());
     }
 
     async fn latency_added_by_an_entry_instance() {
@@ -229,7 +230,7 @@
     }
 }
 
-/// Slopes for the capacity page: cost by instances, and by idle workers.
+/// Resource usage by number of instances and of idle workers, for capacity planning.
 mod slopes {
     use std::sync::{Arc, Mutex};
 
@@ -273,7 +274,7 @@
                     },
                     fails: false,
                 };
-                // Each keeps to one instance, as connections through a balancer do.
+                // Each worker uses one instance, as it does behind a load balancer.
                 let entry = vec![entries[started % 3]];
                 let token = cell.token.child_token();
                 tokio::spawn(worker::run(plan, entry, None, Arc::clone(&record), token));
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Pages that must agree with the code.
+//! Checks that the documentation and the examples agree with the code.
 
 use std::collections::BTreeSet;
 
@@ -62,7 +62,7 @@
 fn events_after_a_message_sort_after_its_sender() {
     use plantaincross::event::Ring;
 
-    // The second instance's wall clock is ten seconds behind.
+    // The wall clock of the second instance is 10 s behind.
     let (mut ahead, mut behind) = (Ring::new("a".to_owned()), Ring::new("b".to_owned()));
     ahead.push(20_000, Event::Draining {});
     behind.push(9_000, Event::Draining {});
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams and workers when descriptors are few.
+//! Limit on open connections to upstreams and workers.
 
 use std::net::SocketAddr;
 
@@ -38,32 +38,41 @@
     body.collect().await.expect("a body");
 }
 
-// Workers that are reached in turn must not use up the descriptors: the connection that has
-// been idle for longest makes way.
+// Requests to many workers in turn must not exhaust the file descriptors: at the limit, the
+// connection that has been idle longest is closed.
 #[tokio::test]
 async fn idle_connections_make_way() {
     let pool = Pool::with_most(3);
     for _ in 0..10 {
         let address = upstream().await;
-        let mut connection = pool.take(address, true).await.expect("room is made");
+        let mut connection = pool
+            .take(address, true)
+            .await
+            .expect("an idle connection is closed");
         exchange(&mut connection).await;
         pool.put(connection, 3);
         assert!(pool.open() <= 3, "{} connections are open", pool.open());
     }
 }
 
-// A limit that is reached costs a part: connections in use stay, a further one is refused at
-// once, and there is room again when one is closed.
+// When all permitted connections are in use, a further one must fail at once without affecting
+// the others, and closing one must free its place.
 #[tokio::test]
 async fn a_full_pool_refuses_and_recovers() {
     let pool = Pool::with_most(2);
-    let mut first = pool.take(upstream().await, true).await.expect("room");
-    let second = pool.take(upstream().await, true).await.expect("room");
+    let mut first = pool
+        .take(upstream().await, true)
+        .await
+        .expect("below the limit");
+    let second = pool
+        .take(upstream().await, true)
+        .await
+        .expect("below the limit");
     let third = upstream().await;
     assert!(pool.take(third, true).await.is_err());
     exchange(&mut first).await;
     second.close();
-    let mut third = pool.take(third, true).await.expect("room again");
+    let mut third = pool.take(third, true).await.expect("below the limit again");
     exchange(&mut third).await;
     assert_eq!(pool.open(), 2);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A cell of real daemons on loopback, one process each, for tests.
+//! Test cell of real daemons on the loopback interface, one process each.
 #![allow(dead_code)]
 
 pub mod relay;
@@ -25,17 +25,17 @@
 use tokio_util::sync::CancellationToken;
 
 pub const SECRET: &[u8] = b"a secret for tests only";
-/// Longest wait for something that must happen. Far above what it takes, so that
-/// a slow machine gives the same verdict.
+/// Time limit for an expected event. It is far above the usual duration, so that tests do not
+/// fail on a slow machine.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Teams `big` and `small` and the service `orders`.
+/// Configuration with the teams `big` and `small` and the service `orders`.
 pub const CONFIG: &str = "[cell]\nclaim-retention = 60s\n\
     [team big]\nshare = 3\nlimit = 100\n[team small]\nshare = 1\nlimit = 100\n\
     [service orders]\ndeadline = 20s\nrun-limit = 2s\nanswer-limit = 64KB\nbody-limit = 16KB\n";
 
-/// A folder that is removed at the end of its test, and kept with the daemons'
-/// logs if the test fails.
+/// Temporary folder that is removed at the end of its test. If the test fails, it is kept with
+/// the logs of the daemons.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -54,7 +54,7 @@
 impl Drop for Folder {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("logs are kept in {}", self.0.display());
+            eprintln!("the logs are kept in {}", self.0.display());
             return;
         }
         let _ = std::fs::remove_dir_all(&self.0);
@@ -91,7 +91,7 @@
         self.child = Some(child);
     }
 
-    /// Returns its log so far.
+    /// Returns the content of the daemon's log file.
     pub fn log(&self) -> String {
         let path = self.settings.with_extension("log");
         std::fs::read_to_string(path).expect("a log")
@@ -121,7 +121,7 @@
 }
 
 impl Cell {
-    /// Starts instances in the given zones; the first three found the root group.
+    /// Starts one instance per given zone. The first three bootstrap the root group.
     pub async fn start(zones: &[&str]) -> Self {
         let folder = Folder::new();
         std::fs::write(folder.path().join("secret"), SECRET).expect("secret");
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Starts a cell with the test configuration, keys and upstreams that serve.
+    /// Starts a cell with the test configuration, keys and the given number of upstreams per
+    /// zone, and waits until all instances serve requests.
     pub async fn serving(zones: &[&str], upstreams: usize, service: Duration) -> Self {
         let cell = Self::start(zones).await;
         cell.configure(CONFIG).await;
@@ -195,7 +196,10 @@
         let mut operator = self.operator(0);
         let started = Instant::now();
         while let Err(err) = push(&mut operator, 0, "test", files.clone()).await {
-            assert!(started.elapsed() < PATIENCE, "no configuration: {err}");
+            assert!(
+                started.elapsed() < PATIENCE,
+                "configuration was not accepted: {err}"
+            );
             sleep(Duration::from_millis(50)).await;
         }
     }
@@ -214,7 +218,7 @@
             .expect("given");
     }
 
-    /// Starts an upstream that is reached through a relay.
+    /// Starts an upstream whose connections pass through a relay.
     pub async fn relayed_upstream(&self, zone: &str, name: &str) -> (Upstream, Relay) {
         let target = free_port();
         let relay = Relay::start(target).await;
@@ -261,7 +265,7 @@
             }
             assert!(
                 started.elapsed() < PATIENCE,
-                "i{at} does not serve: {answer:?}"
+                "i{at} does not serve requests: {answer:?}"
             );
             sleep(Duration::from_millis(50)).await;
         }
@@ -304,7 +308,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the position of the instance that leads a zone, once there is one.
+    /// Waits until a zone has a leader and returns the index of that instance.
     pub async fn zone_leader(&self, from: usize, zone: &str) -> usize {
         let started = Instant::now();
         loop {
@@ -319,7 +323,7 @@
         }
     }
 
-    /// How often each id was run, over all upstreams.
+    /// Returns how often the request with the given id was run by all upstreams together.
     pub fn runs(&self, id: &str) -> u32 {
         self.all_upstreams()
             .iter()
@@ -327,7 +331,7 @@
             .sum()
     }
 
-    /// Fails if an upstream ever had more than its slots or connections in use.
+    /// Panics if an upstream ever had more requests or connections than it announced.
     pub fn check_capacity(&self) {
         for upstream in self.all_upstreams() {
             upstream.ledger(|l| {
@@ -342,34 +346,34 @@
         }
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon with SIGKILL.
     pub fn kill(&mut self, at: usize) {
         let mut child = self.instances[at].child.take().expect("runs");
         child.kill().expect("killed");
         child.wait().expect("ended");
     }
 
-    /// Starts a killed daemon again.
+    /// Restarts a killed daemon with the same settings and data.
     pub fn restart(&mut self, at: usize) {
         self.instances[at].spawn();
     }
 
-    /// Stops a daemon's threads where they are.
+    /// Suspends a daemon with SIGSTOP.
     pub fn pause(&self, at: usize) {
         self.instances[at].signal("-STOP");
     }
 
-    /// Lets a paused daemon go on.
+    /// Resumes a suspended daemon with SIGCONT.
     pub fn resume(&self, at: usize) {
         self.instances[at].signal("-CONT");
     }
 
-    /// Begins a planned stop of a daemon.
+    /// Begins a graceful shutdown of a daemon with SIGTERM.
     pub fn stop(&self, at: usize) {
         self.instances[at].signal("-TERM");
     }
 
-    /// Waits until a daemon has ended; yields whether it did so without an error.
+    /// Waits until a daemon has exited and returns whether its exit status was success.
     pub async fn ended(&mut self, at: usize) -> bool {
         let started = Instant::now();
         let child = self.instances[at].child.as_mut().expect("was started");
@@ -378,7 +382,7 @@
                 self.instances[at].child = None;
                 return status.success();
             }
-            assert!(started.elapsed() < PATIENCE, "i{at} does not end");
+            assert!(started.elapsed() < PATIENCE, "i{at} did not exit");
             sleep(Duration::from_millis(50)).await;
         }
     }
@@ -398,14 +402,14 @@
     }
 }
 
-/// First port for daemons, below those that the kernel takes for connections.
+/// First port for daemons. The range is below the kernel's ephemeral ports.
 const PORT_MIN: u16 = 12_000;
-/// Number of such ports.
+/// Number of ports for daemons.
 const PORT_COUNT: u16 = 9_000;
 
-/// Returns a port that no other test gets, of this process or another, and that no
-/// outgoing connection can take. The process holds a second port for each one that it
-/// has given out, so that tests of other processes pass it over.
+/// Returns a port that no other test gets, of this process or another, and that no outgoing
+/// connection can take. For each returned port, the process keeps a listener open on a second
+/// port as a lock, so that tests of other processes skip it.
 fn free_port() -> SocketAddr {
     static HELD: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
     let bind = |port: u16| TcpListener::bind(("127.0.0.1", port));
@@ -424,7 +428,7 @@
     panic!("no free port for a test");
 }
 
-/// Returns the kind of a refusal and whether it ran.
+/// Returns the `kind` and `run` fields of an error response.
 pub fn kind(body: &[u8]) -> (String, String) {
     let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let text = |name: &str| value[name].as_str().unwrap_or_default().to_owned();
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -1,5 +1,5 @@
-//! A relay between two instances that can stop passing bytes without closing
-//! anything, as a path does that has lost track of its connections.
+//! A TCP relay that can drop all data without closing its connections, like a firewall or NAT
+//! that has lost its connection state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A relay to one address.
+/// A running relay to one address.
 #[derive(Clone)]
 pub struct Relay {
     pub address: SocketAddr,
@@ -38,7 +38,7 @@
         relay
     }
 
-    /// Drops everything from now on, or passes new bytes again.
+    /// Starts or stops dropping data. Connections that lost data stay broken.
     pub fn drop_all(&self, dropping: bool) {
         self.dropping.store(dropping, Ordering::Relaxed);
     }
@@ -61,7 +61,7 @@
     }
 }
 
-// A connection that was open while the path dropped stays lost for good.
+// Forwards data in one direction. A connection that lost data never forwards any again.
 async fn pass(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
@@ -74,7 +74,7 @@
             return;
         };
         if count == 0 {
-            // The end is not passed on either once the connection is lost.
+            // A broken connection does not forward the end of the stream either.
             while lost.load(Ordering::Relaxed) {
                 sleep(Duration::from_secs(1)).await;
             }
--- a/tests/timed.rs
+++ b/tests/timed.rs
@@ -1,5 +1,5 @@
-//! Promises about real time, with real daemons. Their verdict depends on the
-//! machine, so they run by hand:
+//! Real-time behaviour of real daemons. The results depend on the speed of the machine, so
+//! these tests are ignored by default. Run them with:
 //!
 //! `cargo test --release --test timed -- --ignored --test-threads 1`
 
@@ -34,7 +34,7 @@
                 .expect("answers");
             late += u32::from(!answer.status().is_success());
         }
-        assert!(late <= 4, "{late} of 60 requests met the silent upstream");
+        assert!(late <= 4, "{late} of 60 requests failed because of the silent upstream");
         cell.check_capacity();
     }
 
@@ -92,7 +92,7 @@
 
     async fn flooding_team_does_not_delay_a_small_one() {
         let cell = Cell::serving(&["a", "a"], 2, Duration::from_millis(20)).await;
-        // 16 slots of 20 ms; the big team asks for many times that.
+        // There are 16 slots with 20 ms per request; the big team keeps 120 requests pending.
         let token = tokio_util::sync::CancellationToken::new();
         let mut floods = Vec::new();
         for at in 0..2 {
@@ -120,7 +120,7 @@
         }
         token.cancel();
         let slowest = *waits.keys().nth(57).expect("sixty");
-        // First come, first served would make it wait behind 120 requests.
+        // With FIFO order the request would wait behind 120 others.
         assert!(slowest < Duration::from_millis(600), "{slowest:?}");
         for flood in floods {
             let _ = flood.await;
@@ -139,7 +139,8 @@
         for at in 0..4 {
             cell.wait_serving(at).await;
         }
-        // All demand in zone a, then all in zone b: 8 running at 50 ms are 160 a second.
+        // All demand is in zone a, then in zone b, and so on. 8 running requests of 50 ms allow
+        // 160 per second.
         for zone in [0, 1, 0, 1] {
             let token = tokio_util::sync::CancellationToken::new();
             let mut tasks = Vec::new();
@@ -180,7 +181,7 @@
                 times.iter().filter(within).count()
             };
             println!("zone {zone}: {} in the first second, {} in the third, most {most}", second(0, 1), second(2, 3));
-            assert!(second(2, 3) >= 128, "{} a second of 160 possible", second(2, 3));
+            assert!(second(2, 3) >= 128, "{} requests per second of 160 possible", second(2, 3));
         }
     }
 
@@ -197,7 +198,7 @@
         let mut client = cell.client(0, "big-key");
         let mut failed = 0;
         for turn in 0..120 {
-            // Twice every open connection that is used meanwhile is lost for good.
+            // At two points, every connection that carries data is lost permanently.
             let dropping = turn == 20 || turn == 60;
             for relay in &relays {
                 relay.drop_all(dropping);
@@ -215,6 +216,6 @@
             }
             assert!(cell.runs(&id) <= 1, "{id} ran {} times", cell.runs(&id));
         }
-        assert!(failed <= 4, "{failed} of 120 orders met two losses");
+        assert!(failed <= 4, "{failed} of 120 requests failed at two connection losses");
     }
 }
