--- a/src/change.rs
+++ b/src/change.rs
@@ -25,9 +25,9 @@
     pub fn between(old: &Config, new: &Config) -> Self {
         Self {
             cell: (old.cell != new.cell).then(|| new.cell.clone()),
-            teams: difference(&old.teams, &new.teams),
-            services: difference(&old.services, &new.services),
-            queues: difference(&old.queues, &new.queues),
+            teams: diff(&old.teams, &new.teams),
+            services: diff(&old.services, &new.services),
+            queues: diff(&old.queues, &new.queues),
         }
     }
 
@@ -35,17 +35,14 @@
     pub fn applied_to(&self, old: &Config) -> Config {
         Config {
             cell: self.cell.clone().unwrap_or_else(|| old.cell.clone()),
-            teams: with(&old.teams, &self.teams),
-            services: with(&old.services, &self.services),
-            queues: with(&old.queues, &self.queues),
+            teams: apply(&old.teams, &self.teams),
+            services: apply(&old.services, &self.services),
+            queues: apply(&old.queues, &self.queues),
         }
     }
 }
 
-fn difference<T: Clone + PartialEq>(
-    old: &BTreeMap<String, T>,
-    new: &BTreeMap<String, T>,
-) -> Entries<T> {
+fn diff<T: Clone + PartialEq>(old: &BTreeMap<String, T>, new: &BTreeMap<String, T>) -> Entries<T> {
     let removed = old
         .keys()
         .filter(|name| !new.contains_key(*name))
@@ -57,7 +54,7 @@
     removed.chain(changed).collect()
 }
 
-fn with<T: Clone>(old: &BTreeMap<String, T>, entries: &Entries<T>) -> BTreeMap<String, T> {
+fn apply<T: Clone>(old: &BTreeMap<String, T>, entries: &Entries<T>) -> BTreeMap<String, T> {
     let mut new = old.clone();
     for (name, entry) in entries {
         match entry {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -43,11 +43,11 @@
 }
 
 fn boot_micros() -> u64 {
-    const MICROS: u64 = 1_000_000;
+    const MICROS_PER_SECOND: u64 = 1_000_000;
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let nanos = u64::try_from(time.tv_nsec).unwrap_or(0);
-    seconds * MICROS + nanos / 1_000
+    seconds * MICROS_PER_SECOND + nanos / 1_000
 }
 
 /// Returns the wall-clock time in milliseconds since the Unix epoch.
--- a/src/config.rs
+++ b/src/config.rs
@@ -12,7 +12,7 @@
 /// Largest share that a team can have.
 pub const SHARE_MAX: u32 = 1_000_000;
 /// Longest name of a team, service, queue or zone, in bytes.
-pub const NAME_MAX: usize = 64;
+pub const NAME_MAX_BYTES: usize = 64;
 
 /// Treatment of a key that an instance cannot verify against the root group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -15,15 +15,15 @@
 use crate::core::time::Moment;
 use crate::event::{Event, Stamp};
 use crate::net::{Link, Mesh, Notice};
-use crate::node::Order;
+use crate::node::Command;
 use crate::store::Wal;
 use crate::traffic::{Traffic, View};
 use crate::wire::Body;
 
 /// Interval of the periodic tick.
-const TICK_EVERY: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of inputs handled per sync of the log.
-const BATCH_MAX: usize = 512;
+const BATCH_INPUTS_MAX: usize = 512;
 /// Gap between ticks above which an event reports that the process was paused.
 const PAUSE_MIN: Duration = Duration::from_millis(1_000);
 
@@ -55,9 +55,9 @@
     pub async fn run(
         mut self,
         mut inbox: mpsc::Receiver<Notice>,
-        mut orders: mpsc::Receiver<Order>,
+        mut commands: mpsc::Receiver<Command>,
     ) {
-        let mut ticks = interval(TICK_EVERY);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_tick = self.now();
         loop {
@@ -66,23 +66,23 @@
                 () = self.stop.cancelled() => return,
                 _ = ticks.tick() => {
                     let now = self.now();
-                    self.note_pause(now.since(last_tick));
+                    self.record_pause(now.since(last_tick));
                     last_tick = now;
                     self.step(Input::Tick);
                 }
-                Some(notice) = inbox.recv() => self.take_notice(notice),
-                Some(order) = orders.recv() => self.take_order(order),
+                Some(notice) = inbox.recv() => self.handle_notice(notice),
+                Some(command) = commands.recv() => self.handle_command(command),
             }
-            for _ in 0..BATCH_MAX {
+            for _ in 0..BATCH_INPUTS_MAX {
                 if let Ok(notice) = inbox.try_recv() {
-                    self.take_notice(notice);
-                } else if let Ok(order) = orders.try_recv() {
-                    self.take_order(order);
+                    self.handle_notice(notice);
+                } else if let Ok(command) = commands.try_recv() {
+                    self.handle_command(command);
                 } else {
                     break;
                 }
             }
-            self.settle();
+            self.flush();
         }
     }
 
@@ -90,7 +90,7 @@
         self.traffic.clock.now()
     }
 
-    fn note_pause(&self, gap: Duration) {
+    fn record_pause(&self, gap: Duration) {
         if gap > PAUSE_MIN {
             let millis = u64::try_from(gap.as_millis()).unwrap_or(u64::MAX);
             self.traffic.record(Event::Paused { millis });
@@ -100,10 +100,10 @@
     fn step(&mut self, input: Input) {
         let now = self.now();
         let effects = self.control.step(now, input);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    fn take_notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: Notice) {
         match notice {
             Notice::Up(peer, link) => {
                 let links = self.links.entry(peer.id).or_default();
@@ -127,7 +127,7 @@
                         millis: ping.stamp_millis,
                         count: ping.stamp_count,
                     };
-                    self.traffic.hear_stamp(stamp);
+                    self.traffic.merge_stamp(stamp);
                 }
                 self.step(Input::Message(from, body));
             }
@@ -135,20 +135,20 @@
         }
     }
 
-    fn take_order(&mut self, order: Order) {
-        match order {
-            Order::Ask(question) => {
+    fn handle_command(&mut self, command: Command) {
+        match command {
+            Command::Ask(pending) => {
                 self.next_call += 1;
                 let call = self.next_call;
-                self.replies.insert(call, question.reply);
+                self.replies.insert(call, pending.reply);
                 self.step(Input::Ask {
                     call,
-                    target: question.target,
-                    query: question.query,
+                    target: pending.target,
+                    query: pending.query,
                 });
             }
-            Order::Leave => self.step(Input::Leave),
-            Order::Resign(done) => {
+            Command::Leave => self.step(Input::Leave),
+            Command::Resign(done) => {
                 self.traffic.gate.lock().expect("gate lock").return_all();
                 // The tick sends the returned allotments to the zone leaders.
                 self.step(Input::Tick);
@@ -159,7 +159,7 @@
     }
 
     // Stores pending records and carries out their effects until there are none left.
-    fn settle(&mut self) {
+    fn flush(&mut self) {
         loop {
             let now = self.now();
             let ready = self.control.take_ready(now);
@@ -171,7 +171,7 @@
             }
         }
         self.compact();
-        self.traffic.pump();
+        self.traffic.dispatch();
     }
 
     // Returns false if the disk write failed. Nothing that depends on the records is sent
@@ -187,7 +187,7 @@
             }
             let ready = self.backlog.remove(0);
             let effects = self.control.stored(self.traffic.clock.now(), ready);
-            self.carry_out(effects);
+            self.apply_effects(effects);
         }
         true
     }
@@ -208,7 +208,7 @@
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(to, body) => self.send(to, body),
@@ -266,6 +266,6 @@
         }
         let root = self.control.root_vouches_until();
         let zone = self.control.zone_vouches_until();
-        self.traffic.set_fresh(root, zone);
+        self.traffic.set_verified_until(root, zone);
     }
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of events that one process keeps.
-pub const RING_MAX: usize = 20_000;
+pub const RING_EVENTS_MAX: usize = 20_000;
 
 macro_rules! events {
     ($($(#[$doc:meta])* $number:literal $name:ident { $($(#[$fdoc:meta])* $field:ident: $ty:ty),* $(,)? })*) => {
@@ -305,7 +305,7 @@
     /// Adds an event at wall time `millis`, and drops the oldest if the ring is full.
     pub fn push(&mut self, millis: u64, event: Event) {
         self.last = self.last.next(millis);
-        if self.records.len() == RING_MAX {
+        if self.records.len() == RING_EVENTS_MAX {
             self.records.pop_front();
         }
         self.records.push_back(Record {
@@ -319,7 +319,7 @@
     }
 
     /// Merges the stamp of a message that arrived at wall time `millis`.
-    pub fn hear(&mut self, other: Stamp, millis: u64) {
+    pub fn merge(&mut self, other: Stamp, millis: u64) {
         self.last = self.last.merge(other, millis);
     }
 
--- a/src/http/callers.rs
+++ b/src/http/callers.rs
@@ -11,9 +11,9 @@
 use tokio::time::timeout;
 
 use super::App;
-use super::headers::{bearer, id as request_id, wish};
-use super::proxy::{Incoming, Whole, is_hop_header};
-use super::reply::{REQUEST_ID, Refused, json};
+use super::headers::{bearer, id as request_id, parse_options};
+use super::proxy::{FullResponse, Incoming, is_hop_header};
+use super::reply::{ErrorResponse, REQUEST_ID, json};
 use crate::clock::wall_millis;
 use crate::config::Config;
 use crate::error::{Error, Kind, Result, Run};
@@ -23,7 +23,7 @@
 
 /// Response body with a new request id.
 #[derive(Debug, Serialize)]
-struct Minted {
+struct GeneratedId {
     id: String,
 }
 
@@ -33,7 +33,7 @@
     Path(service): Path<String>,
     request: Request,
 ) -> Response {
-    take(&app, &service, "/", request).await
+    handle(&app, &service, "/", request).await
 }
 
 /// Handles a request for any other path of a service.
@@ -42,36 +42,36 @@
     Path((service, path)): Path<(String, String)>,
     request: Request,
 ) -> Response {
-    take(&app, &service, &format!("/{path}"), request).await
+    handle(&app, &service, &format!("/{path}"), request).await
 }
 
 /// Generates a request id that the caller may use as its `Idempotency-Key`.
-pub async fn mint(State(app): State<App>) -> Response {
-    let id = app.node.traffic.mint();
-    json(StatusCode::OK, &Minted { id })
+pub async fn generate_id(State(app): State<App>) -> Response {
+    let id = app.node.traffic.generate_id();
+    json(StatusCode::OK, &GeneratedId { id })
 }
 
 /// Answers requests for unknown paths.
-pub async fn unknown() -> Response {
-    Refused::from(Error::new(Kind::NotFound, "no such path")).into_response()
+pub async fn not_found() -> Response {
+    ErrorResponse::from(Error::new(Kind::NotFound, "no such path")).into_response()
 }
 
-async fn take(app: &App, service: &str, path: &str, request: Request) -> Response {
-    let minted = app.node.traffic.mint();
+async fn handle(app: &App, service: &str, path: &str, request: Request) -> Response {
+    let generated = app.node.traffic.generate_id();
     let repeatable = matches!(request_id(request.headers()), Ok(Some(_)));
-    match accept(app, service, path, request, &minted).await {
+    match accept(app, service, path, request, &generated).await {
         Ok(incoming) => {
             let id = incoming.id.clone();
             match app.proxy.run(incoming).await {
-                Ok(answer) => whole(answer, &id),
+                Ok(answer) => to_response(answer, &id),
                 Err(refused) => {
-                    app.node.traffic.metrics.refused(refused.error.kind);
+                    app.node.traffic.metrics.record_refusal(refused.error.kind);
                     refused.into_response()
                 }
             }
         }
         Err(mut refused) => {
-            app.node.traffic.metrics.refused(refused.error.kind);
+            app.node.traffic.metrics.record_refusal(refused.error.kind);
             if repeatable && may_have_run(refused.error.kind) {
                 refused.run = Some(Run::Unknown);
             }
@@ -91,11 +91,11 @@
     service: &str,
     path: &str,
     request: Request,
-    minted: &str,
-) -> Result<Incoming, Refused> {
+    generated: &str,
+) -> Result<Incoming, ErrorResponse> {
     let traffic = &app.node.traffic;
-    let refuse = |error: Error| Refused::new(error, minted);
-    let taken = traffic.clock.now();
+    let refuse = |error: Error| ErrorResponse::new(error, generated);
+    let received_at = traffic.clock.now();
     let view = traffic.view.load_full();
     let (head, body) = request.into_parts();
     let settings = view.config.services.get(service).cloned().ok_or_else(|| {
@@ -110,20 +110,20 @@
         (None, Some(open)) => open.clone(),
         (None, None) => return Err(refuse(Error::new(Kind::Unauthenticated, "no API key"))),
     };
-    let wish = wish(&head.method, &head.headers, &settings).map_err(refuse)?;
-    let deadline = taken + wish.deadline;
-    let id = wish.id.clone().unwrap_or_else(|| minted.to_owned());
+    let options = parse_options(&head.method, &head.headers, &settings).map_err(refuse)?;
+    let deadline = received_at + options.deadline;
+    let id = options.id.clone().unwrap_or_else(|| generated.to_owned());
     let body = read_body(body, settings.body_limit)
         .await
-        .map_err(|error| Refused::new(error, &id))?;
-    let origin = wish
+        .map_err(|error| ErrorResponse::new(error, &id))?;
+    let origin = options
         .id
         .as_deref()
-        .and_then(|id| minted_origin(&view.config, &view.zones, id));
+        .and_then(|id| parse_generated_id(&view.config, &view.zones, id));
     Ok(Incoming {
-        claimed: wish.id.is_some(),
-        minted_age: origin.as_ref().map(|(_, age)| *age),
-        home: origin.map(|(zone, _)| zone),
+        id_from_caller: options.id.is_some(),
+        generated_age: origin.as_ref().map(|(_, age)| *age),
+        home_zone: origin.map(|(zone, _)| zone),
         id,
         team,
         service: service.to_owned(),
@@ -132,10 +132,10 @@
         path: target_path(path, &head.uri),
         headers: end_to_end(&head.headers),
         body,
-        taken,
+        received_at,
         deadline,
-        worth: wish.worth,
-        idempotent: wish.idempotent,
+        worth: options.worth,
+        idempotent: options.idempotent,
     })
 }
 
@@ -156,18 +156,18 @@
 
 // Returns the home zone and the age encoded in a generated id, which has the form
 // `zone:millis:instance:count`.
-fn minted_origin(config: &Config, zones: &[String], id: &str) -> Option<(String, Duration)> {
+fn parse_generated_id(config: &Config, zones: &[String], id: &str) -> Option<(String, Duration)> {
     let mut parts = id.split(':');
     let zone = parts.next()?;
     let millis: u64 = parts.next()?.parse().ok()?;
     let instance = parts.next()?;
     let count = parts.next()?;
-    let is_minted = parts.next().is_none()
+    let is_generated = parts.next().is_none()
         && instance.len() == 16
         && instance.bytes().all(|b| b.is_ascii_hexdigit())
         && count.parse::<u64>().is_ok()
         && zones.iter().any(|known| known == zone);
-    if !is_minted {
+    if !is_generated {
         return None;
     }
     let age = Duration::from_millis(wall_millis().saturating_sub(millis));
@@ -194,7 +194,7 @@
     kept
 }
 
-fn whole(answer: Whole, id: &str) -> Response {
+fn to_response(answer: FullResponse, id: &str) -> Response {
     let (head, body) = answer.into_parts();
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = head.status;
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -8,8 +8,8 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use super::pool::Connection;
-use super::proxy::{Attempted, Caller, Incoming, Proxy, SENDER, idle_limit, is_hop_header};
-use super::reply::{REQUEST_ID, Refused};
+use super::proxy::{Incoming, Outcome, Proxy, Responder, SENDER_HEADER, idle_limit, is_hop_header};
+use super::reply::{ErrorResponse, REQUEST_ID};
 use crate::core::gate::{Announcement, Assignment, Exchange};
 use crate::error::Kind;
 use crate::event::Event;
@@ -17,19 +17,19 @@
 impl Proxy {
     // Releases the slot of an attempt. If the upstream may still be working on the request,
     // the slot stays reserved until the run limit has passed.
-    pub(super) fn release(&self, assignment: Assignment, attempted: &Attempted) {
+    pub(super) fn release(&self, assignment: Assignment, outcome: &Outcome) {
         let traffic = Arc::clone(&self.node.traffic);
-        match attempted {
-            Attempted::Answered(_) => traffic.finish(assignment, Exchange::Answered),
-            Attempted::Broken(_, _, Some(until)) => {
-                traffic.suspect(assignment.upstream);
+        match outcome {
+            Outcome::Answered(_) => traffic.finish(assignment, Exchange::Answered),
+            Outcome::Failed(_, _, Some(until)) => {
+                traffic.suspend(assignment.upstream);
                 let until = *until;
                 self.tasks.spawn(async move {
                     sleep_until(until).await;
                     traffic.finish(assignment, Exchange::Failed);
                 });
             }
-            Attempted::Unsent(_) | Attempted::Broken(_, _, None) => {
+            Outcome::Unsent(_) | Outcome::Failed(_, _, None) => {
                 traffic.finish(assignment, Exchange::Failed);
             }
         }
@@ -42,8 +42,8 @@
         &self,
         incoming: &Incoming,
         assignment: Assignment,
-        caller: &mut Option<Caller>,
-    ) -> Attempted {
+        responder: &mut Option<Responder>,
+    ) -> Outcome {
         let traffic = &self.node.traffic;
         let target = {
             let gate = traffic.gate.lock().expect("gate lock");
@@ -51,15 +51,15 @@
                 .map(|u| u.announcement.clone())
         };
         let Some(target) = target else {
-            return Attempted::Unsent("the upstream was removed".into());
+            return Outcome::Unsent("the upstream was removed".into());
         };
         let connection = match self.pool.take(target.address, incoming.idempotent).await {
             Ok(connection) => connection,
-            Err(err) => return Attempted::Unsent(format!("{}: {err}", target.name)),
+            Err(err) => return Outcome::Unsent(format!("{}: {err}", target.name)),
         };
         if traffic.clock.now() >= incoming.deadline {
             connection.close();
-            return Attempted::Unsent("the deadline passed before the request was sent".into());
+            return Outcome::Unsent("the deadline passed before the request was sent".into());
         }
         traffic.record(Event::RequestSent {
             request: incoming.id.clone(),
@@ -67,33 +67,33 @@
         });
         let deadline = Instant::from_std(traffic.clock.instant(incoming.deadline));
         let run_until = Instant::now() + incoming.settings.run_limit;
-        let exchange = self.converse(connection, incoming, run_until, &target);
+        let exchange = self.perform_exchange(connection, incoming, run_until, &target);
         tokio::pin!(exchange);
         tokio::select! {
             ended = &mut exchange => return ended,
             () = sleep_until(deadline) => {}
         }
-        traffic.suspect(assignment.upstream);
-        if let Some(caller) = caller.take() {
-            let refused = Refused::new(Kind::DeadlineExceeded, &incoming.id);
-            self.answer(incoming, caller, Err(refused));
+        traffic.suspend(assignment.upstream);
+        if let Some(responder) = responder.take() {
+            let refused = ErrorResponse::new(Kind::DeadlineExceeded, &incoming.id);
+            self.respond(incoming, responder, Err(refused));
         }
         exchange.await
     }
 
     // Sends the request and reads the whole response.
-    pub(super) async fn converse(
+    pub(super) async fn perform_exchange(
         &self,
         mut connection: Connection,
         incoming: &Incoming,
         run_until: Instant,
         target: &Announcement,
-    ) -> Attempted {
-        let request = match self.outgoing(incoming, &target.address.to_string()) {
+    ) -> Outcome {
+        let request = match self.upstream_request(incoming, &target.address.to_string()) {
             Ok(request) => request,
             Err(message) => {
                 connection.close();
-                return Attempted::Unsent(message);
+                return Outcome::Unsent(message);
             }
         };
         let sent = timeout_at(run_until, connection.sender.try_send_request(request)).await;
@@ -104,17 +104,17 @@
                 connection.close();
                 let message = format!("{}: {}", target.name, err.error());
                 if unsent {
-                    return Attempted::Unsent(message);
+                    return Outcome::Unsent(message);
                 }
                 // An orderly close comes from the upstream, which then no longer works on the
                 // request. A reset may come from a middlebox, so the request may still run.
                 let until = (!err.error().is_incomplete_message()).then_some(run_until);
-                return Attempted::Broken(Kind::UpstreamFailed, message, until);
+                return Outcome::Failed(Kind::UpstreamFailed, message, until);
             }
             Err(_) => {
                 connection.close();
                 let message = format!("{} did not answer within the run limit", target.name);
-                return Attempted::Broken(Kind::UpstreamFailed, message, None);
+                return Outcome::Failed(Kind::UpstreamFailed, message, None);
             }
         };
         let (head, body) = response.into_parts();
@@ -125,14 +125,14 @@
         if crossed {
             connection.close();
             let message = format!("{} answered with the id of another request", target.name);
-            return Attempted::Broken(Kind::BadAnswer, message, Some(run_until));
+            return Outcome::Failed(Kind::BadAnswer, message, Some(run_until));
         }
         let limit = usize::try_from(incoming.settings.answer_limit).unwrap_or(usize::MAX);
         let body = timeout_at(run_until, Limited::new(body, limit).collect()).await;
         match body {
             Ok(Ok(body)) => {
                 self.pool.put(connection, idle_limit(target));
-                Attempted::Answered(Response::from_parts(head, body.to_bytes()))
+                Outcome::Answered(Response::from_parts(head, body.to_bytes()))
             }
             Ok(Err(err)) => {
                 connection.close();
@@ -141,7 +141,7 @@
                 } else {
                     format!("the response of {} was truncated", target.name)
                 };
-                Attempted::Broken(Kind::BadAnswer, message, Some(run_until))
+                Outcome::Failed(Kind::BadAnswer, message, Some(run_until))
             }
             Err(_) => {
                 connection.close();
@@ -149,13 +149,13 @@
                     "the response of {} did not end within the run limit",
                     target.name
                 );
-                Attempted::Broken(Kind::BadAnswer, message, None)
+                Outcome::Failed(Kind::BadAnswer, message, None)
             }
         }
     }
 
     // Builds the request to the upstream, without hop-by-hop headers.
-    pub(super) fn outgoing(
+    pub(super) fn upstream_request(
         &self,
         incoming: &Incoming,
         host: &str,
@@ -179,7 +179,7 @@
         set("host", host)?;
         set(REQUEST_ID, &incoming.id)?;
         set("x-team", &incoming.team)?;
-        set(SENDER, &self.node.traffic.id.to_string())?;
+        set(SENDER_HEADER, &self.node.traffic.id.to_string())?;
         Ok(request)
     }
 }
--- a/src/http/jobs.rs
+++ b/src/http/jobs.rs
@@ -9,7 +9,7 @@
 use super::headers::{bearer, id as request_id};
 use super::operators::is_operator;
 use super::platform::parse;
-use super::reply::{Refused, json};
+use super::reply::{ErrorResponse, json};
 use crate::core::control::{Answer, JobLine, Query, Target};
 use crate::core::fleet::Explanation;
 use crate::core::job::{Id, Job, Spec, State as JobState, TASKS_MAX};
@@ -45,7 +45,7 @@
 fn respond<T: Serialize>(result: Result<T>) -> Response {
     match result {
         Ok(body) => json(StatusCode::OK, &body),
-        Err(err) => Refused::from(err).into_response(),
+        Err(err) => ErrorResponse::from(err).into_response(),
     }
 }
 
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -28,7 +28,7 @@
 pub use operators::{
     Events, Faults, GiveBody, PushBody, Pushed, Shown, ShownKey, WithdrawnBody, operator_token,
 };
-pub use platform::Announce;
+pub use platform::HeartbeatBody;
 pub use pool::{Connection, Pool};
 pub use proxy::Proxy;
 
@@ -37,9 +37,9 @@
 /// Time within which the head of a request must arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest body of a request to the platform, job and operator APIs.
-const CONTROL_BODY_MAX: usize = 4 << 20;
+const CONTROL_BODY_MAX_BYTES: usize = 4 << 20;
 /// Pause after `accept` failed, such as for lack of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// State shared by all handlers.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
@@ -91,12 +91,12 @@
     }
     drop(listener);
     graceful.shutdown().await;
-    proxy.settle().await;
+    proxy.wait_idle().await;
 }
 
 fn router(app: App) -> Router {
     let control = Router::new()
-        .route("/v1/upstreams", post(platform::announce))
+        .route("/v1/upstreams", post(platform::heartbeat))
         .route("/v1/workers/poll", post(platform::poll))
         .route("/v1/jobs", get(jobs::list).post(jobs::submit))
         .route("/v1/jobs/{id}", get(jobs::show).delete(jobs::cancel))
@@ -107,15 +107,15 @@
         .route("/v1/zones/{zone}/replace", post(operators::replace))
         .route("/v1/status", get(operators::status))
         .route("/v1/events", get(operators::events))
-        .layer(DefaultBodyLimit::max(CONTROL_BODY_MAX));
+        .layer(DefaultBodyLimit::max(CONTROL_BODY_MAX_BYTES));
     Router::new()
         .route("/v1/services/{service}", any(callers::request_root))
         .route("/v1/services/{service}/{*path}", any(callers::request))
-        .route("/v1/request-ids", post(callers::mint))
+        .route("/v1/request-ids", post(callers::generate_id))
         .route("/healthz", get(|| async { "ok\n" }))
         .route("/readyz", get(operators::ready))
         .route("/metrics", get(operators::metrics))
         .merge(control)
-        .fallback(callers::unknown)
+        .fallback(callers::not_found)
         .with_state(app)
 }
--- a/src/http/operators.rs
+++ b/src/http/operators.rs
@@ -12,7 +12,7 @@
 use super::App;
 use super::headers::bearer;
 use super::platform::parse;
-use super::reply::{Refused, json};
+use super::reply::{ErrorResponse, json};
 use crate::config::{Fault, Source, merge};
 use crate::core::control::{Answer, Query, Target};
 use crate::core::registry::{Command, Key, Outcome, Push};
@@ -25,9 +25,9 @@
 const RECORDS_MAX: usize = 2_000;
 /// Longest wait for a zone leader to confirm a key withdrawal, and for a configuration
 /// version to be applied here.
-const CONFIRM_MAX: Duration = Duration::from_secs(2);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two checks while waiting for either.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(100);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Request body to push a configuration.
 #[derive(Debug, Serialize, Deserialize)]
@@ -121,7 +121,7 @@
 
 /// Query parameters of the event list.
 #[derive(Debug, Deserialize)]
-pub struct After {
+pub struct Cursor {
     /// Sequence number after which records are returned.
     #[serde(default)]
     pub after: u64,
@@ -158,19 +158,19 @@
 fn respond<T: Serialize>(result: Result<T>) -> Response {
     match result {
         Ok(body) => json(StatusCode::OK, &body),
-        Err(err) => Refused::from(err).into_response(),
+        Err(err) => ErrorResponse::from(err).into_response(),
     }
 }
 
 /// Reports whether the instance is ready to receive requests.
 pub async fn ready(State(app): State<App>) -> Response {
     if app.node.is_leaving() {
-        return Refused::from(Error::from(Kind::Draining)).into_response();
+        return ErrorResponse::from(Error::from(Kind::Draining)).into_response();
     }
     let view = app.node.traffic.view.load();
     if view.version == 0 {
         let err = Error::new(Kind::NoQuorum, "no configuration has been applied yet");
-        return Refused::from(err).into_response();
+        return ErrorResponse::from(err).into_response();
     }
     "ready\n".into_response()
 }
@@ -195,7 +195,7 @@
     };
     let body = match pushed.await {
         Ok(body) => body,
-        Err(err) => return Refused::from(err).into_response(),
+        Err(err) => return ErrorResponse::from(err).into_response(),
     };
     let config = match merge(&body.files) {
         Ok(config) => config,
@@ -204,7 +204,7 @@
             return json(StatusCode::UNPROCESSABLE_ENTITY, &Faults { kind, faults });
         }
     };
-    let view = view_of(&app, body.replaces).await;
+    let view = wait_for_version(&app, body.replaces).await;
     let command = Command::push(body.replaces, &view.config, &config, &body.operator);
     respond(
         propose(&app, command)
@@ -218,14 +218,14 @@
 
 // Waits until `version` is applied here, because the change is computed against it and this
 // instance may lag behind the root group.
-async fn view_of(app: &App, version: u64) -> Arc<View> {
-    let deadline = tokio::time::Instant::now() + CONFIRM_MAX;
+async fn wait_for_version(app: &App, version: u64) -> Arc<View> {
+    let deadline = tokio::time::Instant::now() + CONFIRM_TIMEOUT;
     loop {
         let view = app.node.traffic.view.load_full();
         if view.version >= version || tokio::time::Instant::now() >= deadline {
             return view;
         }
-        tokio::time::sleep(CONFIRM_PAUSE).await;
+        tokio::time::sleep(CONFIRM_INTERVAL).await;
     }
 }
 
@@ -317,7 +317,7 @@
             return Err(Kind::Internal.into());
         };
         let waits_for = match home_zone {
-            Some(zone) => (!confirm(&app, &zone, at).await).then_some(zone),
+            Some(zone) => (!wait_applied(&app, &zone, at).await).then_some(zone),
             None => None,
         };
         Ok(WithdrawnBody {
@@ -330,14 +330,14 @@
 
 // Waits until the leader of the key's home zone has applied the withdrawal; until then that
 // zone may keep accepting the key.
-async fn confirm(app: &App, zone: &str, at: u64) -> bool {
-    let deadline = tokio::time::Instant::now() + CONFIRM_MAX;
+async fn wait_applied(app: &App, zone: &str, at: u64) -> bool {
+    let deadline = tokio::time::Instant::now() + CONFIRM_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
         let target = Target::Zone(zone.to_owned());
         if app.node.ask(target, Query::Applied(at)).await.is_ok() {
             return true;
         }
-        tokio::time::sleep(CONFIRM_PAUSE).await;
+        tokio::time::sleep(CONFIRM_INTERVAL).await;
     }
     false
 }
@@ -378,13 +378,13 @@
 /// Returns recorded events of this instance.
 pub async fn events(
     State(app): State<App>,
-    Parameters(after): Parameters<After>,
+    Parameters(cursor): Parameters<Cursor>,
     headers: HeaderMap,
 ) -> Response {
     let events = authorize(&app, &headers).map(|()| {
         let ring = app.node.traffic.ring.lock().expect("ring lock");
         Events {
-            records: ring.after(after.after, RECORDS_MAX),
+            records: ring.after(cursor.after, RECORDS_MAX),
         }
     });
     respond(events)
--- a/src/http/platform.rs
+++ b/src/http/platform.rs
@@ -11,7 +11,7 @@
 
 use super::App;
 use super::headers::bearer;
-use super::reply::{Refused, json};
+use super::reply::{ErrorResponse, json};
 use crate::core::allocator::{Heartbeat, Seen};
 use crate::core::control::{Answer, Query, Target};
 use crate::core::fleet::Poll;
@@ -23,7 +23,7 @@
 /// Request body of an upstream's heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Announce {
+pub struct HeartbeatBody {
     /// Unique name within its availability zone.
     pub name: String,
     /// Incarnation number, which must increase with each restart.
@@ -59,42 +59,42 @@
 }
 
 /// Accepts the heartbeat of an upstream.
-pub async fn announce(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
+pub async fn heartbeat(State(app): State<App>, headers: HeaderMap, body: String) -> Response {
     match accept(&app, &headers, &body).await {
         Ok(seen) => {
             let seen = seen.to_string();
             let accepted = true;
             json(StatusCode::OK, &Accepted { accepted, seen })
         }
-        Err(err) => Refused::from(err).into_response(),
+        Err(err) => ErrorResponse::from(err).into_response(),
     }
 }
 
 async fn accept(app: &App, headers: &HeaderMap, body: &str) -> Result<Seen> {
     authorize(app, headers)?;
-    let announce: Announce = parse(body)?;
+    let announced: HeartbeatBody = parse(body)?;
     let view = app.node.traffic.view.load();
     let zones = &view.config.cell.zones;
-    if !zones.is_empty() && !zones.contains(&announce.zone) {
-        let message = format!("unknown zone {}", announce.zone);
+    if !zones.is_empty() && !zones.contains(&announced.zone) {
+        let message = format!("unknown zone {}", announced.zone);
         return Err(Error::new(Kind::BadAnnouncement, message));
     }
-    let target = Target::Zone(announce.zone.clone());
-    let beat = Heartbeat {
-        leaving: announce.leaving,
-        running: announce.running.map(by_instance),
-        seen: announce.seen.map(|seen| seen.parse()).transpose()?,
+    let target = Target::Zone(announced.zone.clone());
+    let heartbeat = Heartbeat {
+        leaving: announced.leaving,
+        running: announced.running.map(by_instance),
+        seen: announced.seen.map(|seen| seen.parse()).transpose()?,
         announcement: Announcement {
-            name: announce.name,
-            incarnation: announce.incarnation,
-            service: announce.service,
-            zone: announce.zone,
-            address: announce.address,
-            slots: announce.slots,
-            connections: announce.connections,
+            name: announced.name,
+            incarnation: announced.incarnation,
+            service: announced.service,
+            zone: announced.zone,
+            address: announced.address,
+            slots: announced.slots,
+            connections: announced.connections,
         },
     };
-    match app.node.ask(target, Query::Announce(beat)).await? {
+    match app.node.ask(target, Query::Announce(heartbeat)).await? {
         Answer::Heard(seen) => Ok(seen),
         _ => Err(Kind::Internal.into()),
     }
@@ -113,7 +113,7 @@
     };
     match polled.await {
         Ok(orders) => json(StatusCode::OK, &orders),
-        Err(err) => Refused::from(err).into_response(),
+        Err(err) => ErrorResponse::from(err).into_response(),
     }
 }
 
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -20,12 +20,12 @@
 /// Time after which unacknowledged data closes a connection (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which an idle connection is closed.
-const IDLE_MAX: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest idle time of a connection that may carry a non-idempotent request. The connection
 /// may have been lost unnoticed, and then such a request cannot be retried.
-const PROVEN_FOR: Duration = Duration::from_millis(500);
+const NON_IDEMPOTENT_IDLE_MAX: Duration = Duration::from_millis(500);
 /// Largest head of a response.
-const HEAD_MAX: usize = 64 << 10;
+const HEAD_MAX_BYTES: usize = 64 << 10;
 
 /// An open connection without a running exchange.
 #[derive(Debug)]
@@ -34,24 +34,24 @@
     pub sender: SendRequest<Full<Bytes>>,
     driver: tokio::task::AbortHandle,
     address: SocketAddr,
-    _slot: Slot,
+    _permit: Permit,
 }
 
 // Permit for one open connection, returned when dropped.
 #[derive(Debug)]
-struct Slot(Arc<AtomicUsize>);
+struct Permit(Arc<AtomicUsize>);
 
-impl Slot {
-    // Returns `None` if `most` connections are open.
-    fn take(open: &Arc<AtomicUsize>, most: usize) -> Option<Self> {
-        let one_more = |count: usize| (count < most).then_some(count + 1);
+impl Permit {
+    // Returns `None` if `max_open` connections are open.
+    fn acquire(open: &Arc<AtomicUsize>, max_open: usize) -> Option<Self> {
+        let one_more = |count: usize| (count < max_open).then_some(count + 1);
         open.fetch_update(Ordering::AcqRel, Ordering::Acquire, one_more)
             .is_ok()
             .then(|| Self(Arc::clone(open)))
     }
 }
 
-impl Drop for Slot {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -75,7 +75,7 @@
 pub struct Pool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
     open: Arc<AtomicUsize>,
-    most: usize,
+    max_open: usize,
 }
 
 impl Default for Pool {
@@ -85,12 +85,12 @@
 }
 
 impl Pool {
-    /// Creates a pool that keeps at most `most` connections open, in use or idle.
-    pub fn with_most(most: usize) -> Self {
+    /// Creates a pool that keeps at most `max_open` connections open, in use or idle.
+    pub fn with_most(max_open: usize) -> Self {
         Self {
             idle: Mutex::default(),
             open: Arc::default(),
-            most,
+            max_open,
         }
     }
 
@@ -106,7 +106,11 @@
     /// Fails if the upstream cannot be reached or the maximum number of connections is in use.
     /// No request has been sent in either case.
     pub async fn take(&self, address: SocketAddr, idempotent: bool) -> std::io::Result<Connection> {
-        let age_max = if idempotent { IDLE_MAX } else { PROVEN_FOR };
+        let age_max = if idempotent {
+            IDLE_TIMEOUT
+        } else {
+            NON_IDEMPOTENT_IDLE_MAX
+        };
         while let Some(idle) = self.pop(address) {
             let usable = idle.since.elapsed() < age_max && !idle.connection.sender.is_closed();
             if usable && idle.connection.sender.is_ready() {
@@ -114,17 +118,17 @@
             }
             idle.connection.close();
         }
-        connect(address, self.slot()?).await
+        connect(address, self.acquire_permit()?).await
     }
 
     // At the limit, closes idle connections to any address, the longest idle first.
-    fn slot(&self) -> std::io::Result<Slot> {
+    fn acquire_permit(&self) -> std::io::Result<Permit> {
         loop {
-            if let Some(slot) = Slot::take(&self.open, self.most) {
-                return Ok(slot);
+            if let Some(permit) = Permit::acquire(&self.open, self.max_open) {
+                return Ok(permit);
             }
             let Some(oldest) = self.pop_oldest() else {
-                let message = format!("connection limit reached: {} in use", self.most);
+                let message = format!("connection limit reached: {} in use", self.max_open);
                 return Err(std::io::Error::other(message));
             };
             oldest.connection.close();
@@ -168,8 +172,9 @@
     pub fn sweep(&self) {
         let mut idle = self.idle.lock().expect("pool lock");
         for list in idle.values_mut() {
-            let (keep, old): (Vec<Idle>, Vec<Idle>) =
-                list.drain(..).partition(|i| i.since.elapsed() < IDLE_MAX);
+            let (keep, old): (Vec<Idle>, Vec<Idle>) = list
+                .drain(..)
+                .partition(|i| i.since.elapsed() < IDLE_TIMEOUT);
             *list = keep;
             for idle in old {
                 idle.connection.close();
@@ -179,7 +184,7 @@
     }
 }
 
-async fn connect(address: SocketAddr, slot: Slot) -> std::io::Result<Connection> {
+async fn connect(address: SocketAddr, permit: Permit) -> std::io::Result<Connection> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
@@ -192,7 +197,7 @@
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)?;
     let (sender, driver) = http1::Builder::new()
-        .max_buf_size(HEAD_MAX)
+        .max_buf_size(HEAD_MAX_BYTES)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
@@ -203,6 +208,6 @@
         sender,
         driver: driver.abort_handle(),
         address,
-        _slot: slot,
+        _permit: permit,
     })
 }
--- a/src/http/reply.rs
+++ b/src/http/reply.rs
@@ -12,7 +12,7 @@
 
 /// JSON body of an error response.
 #[derive(Debug, Serialize)]
-struct Failure<'a> {
+struct ErrorBody<'a> {
     kind: Kind,
     run: Run,
     message: &'a str,
@@ -21,7 +21,7 @@
 
 /// An error response to one request.
 #[derive(Debug)]
-pub struct Refused {
+pub struct ErrorResponse {
     /// Kind and message of the error.
     pub error: Error,
     /// Id of the request; empty if it has none.
@@ -33,7 +33,7 @@
     pub retry_after: Option<std::time::Duration>,
 }
 
-impl Refused {
+impl ErrorResponse {
     /// Returns the error response for the request with id `request`.
     pub fn new(error: impl Into<Error>, request: &str) -> Self {
         Self {
@@ -45,16 +45,16 @@
     }
 }
 
-impl From<Error> for Refused {
+impl From<Error> for ErrorResponse {
     fn from(error: Error) -> Self {
         Self::new(error, "")
     }
 }
 
-impl IntoResponse for Refused {
+impl IntoResponse for ErrorResponse {
     fn into_response(self) -> Response {
         let answer = self.error.kind.answer();
-        let failure = Failure {
+        let failure = ErrorBody {
             kind: self.error.kind,
             run: self.run.unwrap_or(answer.run),
             message: &self.error.message,
--- a/src/merge.rs
+++ b/src/merge.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::{
-    Cell, Config, NAME_MAX, Order, Policy, Queue, SHARE_MAX, Service, StaleKeys, Team,
+    Cell, Config, NAME_MAX_BYTES, Order, Policy, Queue, SHARE_MAX, Service, StaleKeys, Team,
 };
 use crate::util::{parse_duration, parse_size};
 
@@ -86,7 +86,7 @@
 
 /// File and line of a value, for errors found after merging.
 #[derive(Clone, Debug)]
-struct Place {
+struct Origin {
     file: String,
     line: usize,
 }
@@ -95,8 +95,8 @@
 struct Merger {
     config: Config,
     faults: Vec<Fault>,
-    /// Places by section and key; the key is empty for the section itself.
-    places: BTreeMap<(String, String), Place>,
+    /// Origins by section and key; the key is empty for the section itself.
+    origins: BTreeMap<(String, String), Origin>,
 }
 
 impl Merger {
@@ -104,7 +104,7 @@
         let ini = match Ini::load_from_str(&source.text) {
             Ok(ini) => ini,
             Err(err) => {
-                self.fault(&source.name, err.line, err.msg.to_string());
+                self.add_fault(&source.name, err.line, err.msg.to_string());
                 return;
             }
         };
@@ -113,7 +113,7 @@
             let Some(section) = section else {
                 if let Some((key, _)) = values.iter().next() {
                     let line = line_of(&source.text, "", 0, Some(key));
-                    self.fault(&source.name, line, "key outside of any section");
+                    self.add_fault(&source.name, line, "key outside of any section");
                 }
                 continue;
             };
@@ -121,7 +121,7 @@
             seen.insert(section.to_owned(), nth + 1);
             let at = line_of(&source.text, section, nth, None);
             if nth > 0 {
-                self.fault(
+                self.add_fault(
                     &source.name,
                     at,
                     format!("section [{section}] stands twice"),
@@ -132,30 +132,30 @@
             for (key, value) in values.iter() {
                 let line = line_of(&source.text, section, nth, Some(key));
                 if let Err(message) = self.add_value(section, key, value) {
-                    self.fault(&source.name, line, message);
+                    self.add_fault(&source.name, line, message);
                 }
-                let place = Place {
+                let origin = Origin {
                     file: source.name.clone(),
                     line,
                 };
-                self.places
-                    .insert((section.to_owned(), key.to_owned()), place);
+                self.origins
+                    .insert((section.to_owned(), key.to_owned()), origin);
             }
         }
     }
 
     fn add_section(&mut self, source: &Source, section: &str, line: usize) {
-        let place = Place {
+        let origin = Origin {
             file: source.name.clone(),
             line,
         };
-        self.places
+        self.origins
             .entry((section.to_owned(), String::new()))
-            .or_insert(place);
+            .or_insert(origin);
         let (kind, name) = split_section(section);
         if kind != "cell" && !is_name(name) {
             let message = format!("[{section}] needs a name of letters, digits, `-`, `_` or `.`");
-            self.fault(&source.name, line, message);
+            self.add_fault(&source.name, line, message);
             return;
         }
         match kind {
@@ -173,7 +173,7 @@
             "queue" => {
                 self.config.queues.entry(name.to_owned()).or_default();
             }
-            _ => self.fault(&source.name, line, format!("unknown section [{section}]")),
+            _ => self.add_fault(&source.name, line, format!("unknown section [{section}]")),
         }
     }
 
@@ -199,48 +199,48 @@
     }
 
     fn check_references(&mut self) {
-        let mut found: Vec<(String, String, String)> = Vec::new();
+        let mut errors: Vec<(String, String, String)> = Vec::new();
         let fleet = self.config.cell.fleet;
         for (name, team) in &self.config.teams {
             let section = format!("team {name}");
             if team.share == 0 {
                 let message = format!("team {name} needs a share of at least 1");
-                found.push((section.clone(), "share".into(), message));
+                errors.push((section.clone(), "share".into(), message));
             }
             if team.limit == 0 {
                 let message = format!("team {name} needs a limit of at least 1");
-                found.push((section.clone(), "limit".into(), message));
+                errors.push((section.clone(), "limit".into(), message));
             }
             if fleet > 0 && team.limit > fleet {
                 let message = format!("limit {} is above the fleet of {fleet}", team.limit);
-                found.push((section, "limit".into(), message));
+                errors.push((section, "limit".into(), message));
             }
         }
         let services = self.config.services.iter();
         let queues = self.config.queues.iter();
-        let opens = services
+        let open_teams = services
             .map(|(name, s)| (format!("service {name}"), &s.open))
             .chain(queues.map(|(name, q)| (format!("queue {name}"), &q.open)));
-        for (section, open) in opens {
+        for (section, open) in open_teams {
             if let Some(team) = open
                 && !self.config.teams.contains_key(team)
             {
                 let message = format!("team {team} does not exist");
-                found.push((section, "open".into(), message));
+                errors.push((section, "open".into(), message));
             }
         }
-        for (section, key, message) in found {
-            let place = self
-                .places
+        for (section, key, message) in errors {
+            let origin = self
+                .origins
                 .get(&(section.clone(), key))
-                .or_else(|| self.places.get(&(section, String::new())))
+                .or_else(|| self.origins.get(&(section, String::new())))
                 .cloned();
-            let (file, line) = place.map_or((String::new(), 0), |p| (p.file, p.line));
-            self.fault(&file, line, message);
+            let (file, line) = origin.map_or((String::new(), 0), |p| (p.file, p.line));
+            self.add_fault(&file, line, message);
         }
     }
 
-    fn fault(&mut self, file: &str, line: usize, message: impl Into<String>) {
+    fn add_fault(&mut self, file: &str, line: usize, message: impl Into<String>) {
         self.faults.push(Fault {
             file: file.to_owned(),
             line,
@@ -302,7 +302,7 @@
         "body-limit" => service.body_limit = parse_size(value)?,
         "answer-limit" => service.answer_limit = parse_size(value)?,
         "queue-limit" => service.queue_limit = number(value)?,
-        "post-idempotent" => service.post_idempotent = flag(value)?,
+        "post-idempotent" => service.post_idempotent = yes_or_no(value)?,
         "open" => service.open = Some(value.to_owned()),
         _ => return Err(format!("unknown key `{key}` in [service]")),
     }
@@ -330,7 +330,7 @@
         .map_err(|_| format!("`{value}` is not a whole number in range"))
 }
 
-fn flag(value: &str) -> Result<bool, String> {
+fn yes_or_no(value: &str) -> Result<bool, String> {
     match value {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -357,7 +357,7 @@
 /// letters, digits, `-`, `_` and `.`, with limited length.
 pub fn is_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= NAME_MAX && name.bytes().all(allowed)
+    !name.is_empty() && name.len() <= NAME_MAX_BYTES && name.bytes().all(allowed)
 }
 
 /// Returns the line number, from 1, of the `nth` section (from 0) with the given name, or of a
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -20,17 +20,17 @@
 use crate::net::Counters;
 
 /// Length of the window over which shortfalls from fair shares are measured.
-const NEARNESS_WINDOW: Duration = Duration::from_secs(10);
+const SHARE_WINDOW: Duration = Duration::from_secs(10);
 /// Longest waiting time that the totals distinguish, one hour; longer ones count as this.
 const MAX_WAIT_MICROS: u64 = 3_600_000_000;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByKind {
+struct KindLabels {
     kind: String,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct ByTeam {
+struct TeamLabels {
     team: String,
 }
 
@@ -41,12 +41,12 @@
 pub struct Metrics {
     registry: Mutex<Registry>,
     waiting: Histogram,
-    refusals: Family<ByKind, Counter>,
+    refusals: Family<KindLabels, Counter>,
     retries: Counter,
-    completed: Family<ByTeam, Gauge>,
-    running: Family<ByTeam, Gauge>,
-    queued: Family<ByTeam, Gauge>,
-    units: Family<ByTeam, Gauge>,
+    completed: Family<TeamLabels, Gauge>,
+    running: Family<TeamLabels, Gauge>,
+    queued: Family<TeamLabels, Gauge>,
+    units: Family<TeamLabels, Gauge>,
     slots_used: Gauge,
     slots_granted: Gauge,
     shortfall_max: Fraction,
@@ -55,7 +55,7 @@
     bytes_sent: Gauge,
     messages_received: Gauge,
     bytes_received: Gauge,
-    nearness: Mutex<Nearness>,
+    share_tracker: Mutex<ShareTracker>,
     totals: Mutex<Totals>,
 }
 
@@ -108,7 +108,7 @@
             bytes_sent: Gauge::default(),
             messages_received: Gauge::default(),
             bytes_received: Gauge::default(),
-            nearness: Mutex::default(),
+            share_tracker: Mutex::default(),
             totals: Mutex::default(),
         };
         metrics.registry = Mutex::new(metrics.register());
@@ -190,7 +190,7 @@
     }
 
     /// Records the waiting time of a request that got a slot.
-    pub fn waited(&self, time: Duration) {
+    pub fn record_wait(&self, time: Duration) {
         self.waiting.observe(time.as_secs_f64());
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let mut totals = self.totals.lock().expect("totals lock");
@@ -204,8 +204,8 @@
     }
 
     /// Counts a refusal or failure.
-    pub fn refused(&self, kind: Kind) {
-        let label = ByKind {
+    pub fn record_refusal(&self, kind: Kind) {
+        let label = KindLabels {
             kind: kind.to_string(),
         };
         self.refusals.get_or_create(&label).inc();
@@ -214,14 +214,14 @@
     }
 
     /// Counts a retry.
-    pub fn retried(&self) {
+    pub fn record_retry(&self) {
         self.retries.inc();
     }
 
     /// Samples the usage of all teams, and updates the shortfall gauges at the end of a window.
     pub fn sample(&self, now: Moment, teams: &[TeamStat]) {
-        let mut nearness = self.nearness.lock().expect("nearness lock");
-        if let Some((max, mean)) = nearness.sample(now, teams) {
+        let mut tracker = self.share_tracker.lock().expect("share tracker lock");
+        if let Some((max, mean)) = tracker.sample(now, teams) {
             self.shortfall_max.set(max);
             self.shortfall_mean.set(mean);
         }
@@ -231,7 +231,7 @@
     /// format. `slots` are the slots in use and those allotted.
     pub fn encode(&self, teams: &[TeamStat], slots: (u64, u64), links: &Counters) -> String {
         for team in teams {
-            let label = ByTeam {
+            let label = TeamLabels {
                 team: team.team.clone(),
             };
             set(&self.completed.get_or_create(&label), team.completed);
@@ -259,28 +259,32 @@
 
 /// Measures how far teams fell short of their fair shares of slot time in a window.
 #[derive(Debug, Default)]
-pub struct Nearness {
+pub struct ShareTracker {
     since: Moment,
-    before: BTreeMap<String, Duration>,
-    starved: BTreeMap<String, bool>,
+    slot_time_before: BTreeMap<String, Duration>,
+    had_waiting: BTreeMap<String, bool>,
 }
 
-impl Nearness {
+impl ShareTracker {
     /// Samples the usage of all teams. At the end of a window, returns the largest shortfall and
     /// the mean over the teams that used slots. A team with waiting requests at any sample counts
     /// as having unlimited demand.
     pub fn sample(&mut self, now: Moment, teams: &[TeamStat]) -> Option<(f64, f64)> {
         for team in teams {
-            let starved = self.starved.entry(team.team.clone()).or_default();
-            *starved |= team.waiting > 0;
+            let had_waiting = self.had_waiting.entry(team.team.clone()).or_default();
+            *had_waiting |= team.waiting > 0;
         }
-        if now.since(self.since) < NEARNESS_WINDOW {
+        if now.since(self.since) < SHARE_WINDOW {
             return None;
         }
         let used: Vec<f64> = teams
             .iter()
             .map(|team| {
-                let before = self.before.get(&team.team).copied().unwrap_or_default();
+                let before = self
+                    .slot_time_before
+                    .get(&team.team)
+                    .copied()
+                    .unwrap_or_default();
                 team.slot_time.saturating_sub(before).as_secs_f64()
             })
             .collect();
@@ -290,7 +294,7 @@
             .zip(&used)
             .map(|(team, &used)| Claimant {
                 weight: f64::from(team.share.max(1)),
-                demand: if self.starved.get(&team.team) == Some(&true) {
+                demand: if self.had_waiting.get(&team.team) == Some(&true) {
                     capacity
                 } else {
                     used
@@ -302,8 +306,8 @@
         let max = short.iter().copied().fold(0.0, f64::max);
         let mean = short.iter().sum::<f64>() / active as f64;
         self.since = now;
-        self.starved.clear();
-        self.before = teams
+        self.had_waiting.clear();
+        self.slot_time_before = teams
             .iter()
             .map(|team| (team.team.clone(), team.slot_time))
             .collect();
--- a/src/node.rs
+++ b/src/node.rs
@@ -23,17 +23,17 @@
 use crate::traffic::Traffic;
 
 /// Interval at which waiting requests that cannot meet their deadlines are refused.
-const EXPIRE_EVERY: Duration = Duration::from_millis(10);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval at which team usage is sampled for the fair-share metrics.
-const SAMPLE_EVERY: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Capacity of each input queue of the control thread, in messages.
-const INBOX_MAX: usize = 16_384;
+const INBOX_MESSAGES_MAX: usize = 16_384;
 /// Longest wait for an answer from the control thread.
 const ASK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A query to the control thread, with the channel for its answer.
 #[derive(Debug)]
-pub(crate) struct Question {
+pub(crate) struct PendingQuery {
     pub(crate) target: Target,
     pub(crate) query: Query,
     pub(crate) reply: oneshot::Sender<Answer>,
@@ -41,8 +41,8 @@
 
 /// Commands to the control thread.
 #[derive(Debug)]
-pub(crate) enum Order {
-    Ask(Box<Question>),
+pub(crate) enum Command {
+    Ask(Box<PendingQuery>),
     Leave,
     Resign(oneshot::Sender<()>),
 }
@@ -56,7 +56,7 @@
     pub settings: Arc<Settings>,
     /// Connections to peers.
     pub mesh: Arc<Mesh>,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     leaving: CancellationToken,
 }
 
@@ -69,12 +69,12 @@
     /// Fails if the responsible instance cannot be reached, does not answer in time or refuses.
     pub async fn ask(&self, target: Target, query: Query) -> Result<Answer> {
         let (reply, answer) = oneshot::channel();
-        let question = Question {
+        let pending = PendingQuery {
             target,
             query,
             reply,
         };
-        let sent = self.orders.send(Order::Ask(Box::new(question))).await;
+        let sent = self.commands.send(Command::Ask(Box::new(pending))).await;
         sent.map_err(|_| Error::from(Kind::Draining))?;
         match timeout(ASK_TIMEOUT, answer).await {
             Ok(Ok(Answer::Failed(err))) => Err(err),
@@ -99,13 +99,13 @@
     /// Begins a graceful shutdown: readiness checks fail from now on and peers are notified.
     pub async fn leave(&self) {
         self.leaving.cancel();
-        let _ = self.orders.send(Order::Leave).await;
+        let _ = self.commands.send(Command::Leave).await;
     }
 
     /// Returns all allotted slots and units and gives up zone leadership.
     pub async fn resign(&self) {
         let (done, wait) = oneshot::channel();
-        if self.orders.send(Order::Resign(done)).await.is_ok() {
+        if self.commands.send(Command::Resign(done)).await.is_ok() {
             let _ = wait.await;
         }
     }
@@ -158,7 +158,7 @@
     let replica = wal.as_ref().map_or(id.0, Wal::replica);
     let traffic = Arc::new(Traffic::new(id, &settings.name, &settings.zone, clock));
     let stop = CancellationToken::new();
-    let (notices, inbox) = mpsc::channel(INBOX_MAX);
+    let (notices, inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
     let identity = Identity {
         id,
         name: settings.name.clone(),
@@ -176,7 +176,7 @@
         notices,
         stop.child_token(),
     );
-    let (orders, order_inbox) = mpsc::channel(INBOX_MAX);
+    let (commands, command_inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
     let gate = Arc::clone(&traffic.gate);
     let control = Control::new(identity, gate, stored, clock.now(), rand::random());
     let driver = Driver {
@@ -195,14 +195,14 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
     });
     let std_listener = peer_listener.into_std()?;
-    let thread = spawn_control(driver, inbox, order_inbox, std_listener)?;
+    let thread = spawn_control(driver, inbox, command_inbox, std_listener)?;
     spawn_expiry(Arc::clone(&traffic), stop.clone());
     let http = settings.http;
     let node = Node {
         traffic,
         settings: Arc::new(settings),
         mesh,
-        orders,
+        commands,
         leaving: CancellationToken::new(),
     };
     Ok(Started {
@@ -247,7 +247,7 @@
 fn spawn_control(
     driver: Driver,
     inbox: mpsc::Receiver<Notice>,
-    orders: mpsc::Receiver<Order>,
+    commands: mpsc::Receiver<Command>,
     listener: std::net::TcpListener,
 ) -> Result<std::thread::JoinHandle<()>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -262,7 +262,7 @@
                 };
                 let mesh = Arc::clone(&driver.mesh);
                 let links = tokio::spawn(mesh.run(listener));
-                driver.run(inbox, orders).await;
+                driver.run(inbox, commands).await;
                 let _ = links.await;
             });
         })?;
@@ -271,9 +271,9 @@
 
 fn spawn_expiry(traffic: Arc<Traffic>, stop: CancellationToken) {
     tokio::spawn(async move {
-        let mut ticks = interval(EXPIRE_EVERY);
+        let mut ticks = interval(EXPIRE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut samples = interval(SAMPLE_EVERY);
+        let mut samples = interval(SAMPLE_INTERVAL);
         loop {
             tokio::select! {
                 _ = ticks.tick() => traffic.expire(),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -11,7 +11,7 @@
 use crate::util::parse_duration;
 
 /// Minimum length of the cell's secret.
-const SECRET_MIN: usize = 16;
+const SECRET_MIN_BYTES: usize = 16;
 
 /// Settings of one instance.
 #[derive(Clone, Debug)]
@@ -138,9 +138,9 @@
         if self.http.port() == 0 || self.peer.port() == 0 {
             return Err("[instance] needs `http` and `peer` addresses".into());
         }
-        if self.secret.len() < SECRET_MIN {
+        if self.secret.len() < SECRET_MIN_BYTES {
             return Err(format!(
-                "[cell] needs a `secret-file` of {SECRET_MIN} bytes or more"
+                "[cell] needs a `secret-file` of {SECRET_MIN_BYTES} bytes or more"
             ));
         }
         if self.founders.contains(&self.name) && self.data.is_none() {
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -100,9 +100,9 @@
     /// Metrics of the instance.
     pub metrics: Metrics,
     waiters: Mutex<HashMap<Ticket, oneshot::Sender<Result<Assignment, Refusal>>>>,
-    root_fresh: AtomicU64,
-    zone_fresh: AtomicU64,
-    minted: AtomicU64,
+    root_verified_until: AtomicU64,
+    zone_verified_until: AtomicU64,
+    generated_ids: AtomicU64,
 }
 
 impl Traffic {
@@ -118,9 +118,9 @@
             budget: Mutex::default(),
             metrics: Metrics::default(),
             waiters: Mutex::default(),
-            root_fresh: AtomicU64::new(0),
-            zone_fresh: AtomicU64::new(0),
-            minted: AtomicU64::new(0),
+            root_verified_until: AtomicU64::new(0),
+            zone_verified_until: AtomicU64::new(0),
+            generated_ids: AtomicU64::new(0),
         }
     }
 
@@ -132,9 +132,9 @@
     }
 
     /// Merges the event clock of a peer, so that later local events sort after its events.
-    pub fn hear_stamp(&self, stamp: Stamp) {
+    pub fn merge_stamp(&self, stamp: Stamp) {
         let mut ring = self.ring.lock().expect("ring lock");
-        ring.hear(stamp, wall_millis());
+        ring.merge(stamp, wall_millis());
     }
 
     /// Returns the latest value of the event clock.
@@ -144,14 +144,14 @@
 
     /// Sets the times until which keys count as verified: all keys by the root group, and those
     /// whose home is the local zone also by its leader.
-    pub fn set_fresh(&self, root: Moment, zone: Moment) {
-        self.root_fresh.store(root.0, Ordering::Relaxed);
-        self.zone_fresh.store(zone.0, Ordering::Relaxed);
+    pub fn set_verified_until(&self, root: Moment, zone: Moment) {
+        self.root_verified_until.store(root.0, Ordering::Relaxed);
+        self.zone_verified_until.store(zone.0, Ordering::Relaxed);
     }
 
     /// Generates a request id of the form `zone:millis:instance:count`.
-    pub fn mint(&self) -> String {
-        let count = self.minted.fetch_add(1, Ordering::Relaxed);
+    pub fn generate_id(&self) -> String {
+        let count = self.generated_ids.fetch_add(1, Ordering::Relaxed);
         format!("{}:{}:{}:{count}", self.zone, wall_millis(), self.id)
     }
 
@@ -164,9 +164,9 @@
     pub fn authenticate(&self, view: &View, secret: &str) -> Result<String> {
         let digest = sha256(secret.as_bytes());
         let now = self.clock.now();
-        let root_fresh = now.0 < self.root_fresh.load(Ordering::Relaxed);
+        let root_verified = now.0 < self.root_verified_until.load(Ordering::Relaxed);
         let Some((_, key)) = view.find(&digest) else {
-            let kind = if root_fresh {
+            let kind = if root_verified {
                 Kind::Unauthenticated
             } else {
                 Kind::KeyUnverified
@@ -176,8 +176,8 @@
         if key.withdrawn {
             return Err(Error::from(Kind::KeyWithdrawn));
         }
-        let home = key.home_zone.as_ref() == Some(&self.zone);
-        let zone_fresh = now.0 < self.zone_fresh.load(Ordering::Relaxed);
+        let is_home = key.home_zone.as_ref() == Some(&self.zone);
+        let zone_verified = now.0 < self.zone_verified_until.load(Ordering::Relaxed);
         let serves_stale = view
             .config
             .teams
@@ -185,7 +185,7 @@
             .is_some_and(|team| team.stale_keys == StaleKeys::Serve);
         // While the home zone is partitioned from the root group, its keys are verified by the
         // zone leader alone.
-        let verified = root_fresh || (home && zone_fresh) || serves_stale;
+        let verified = root_verified || (is_home && zone_verified) || serves_stale;
         if !verified {
             return Err(Error::from(Kind::KeyUnverified));
         }
@@ -211,11 +211,11 @@
                 let (tx, rx) = oneshot::channel();
                 let mut waiters = self.waiters.lock().expect("waiters lock");
                 waiters.insert(ticket, tx);
-                let loser = displaced.and_then(|ticket| waiters.remove(&ticket));
+                let displaced_waiter = displaced.and_then(|ticket| waiters.remove(&ticket));
                 drop(waiters);
                 drop(gate);
-                if let Some(loser) = loser {
-                    let _ = loser.send(Err(refusal(Kind::Overloaded)));
+                if let Some(displaced_waiter) = displaced_waiter {
+                    let _ = displaced_waiter.send(Err(refusal(Kind::Overloaded)));
                 }
                 Ok(Submitted::Waiting(ticket, rx))
             }
@@ -250,17 +250,17 @@
         if exchange == Exchange::Answered {
             self.budget.lock().expect("budget lock").earn();
         }
-        self.pump();
+        self.dispatch();
     }
 
     /// Suspends an upstream that has not answered in time.
-    pub fn suspect(&self, upstream: UpstreamKey) {
+    pub fn suspend(&self, upstream: UpstreamKey) {
         let now = self.clock.now();
         self.gate.lock().expect("gate lock").suspect(now, upstream);
     }
 
     /// Dispatches waiting requests for which there is capacity.
-    pub fn pump(&self) {
+    pub fn dispatch(&self) {
         loop {
             let now = self.clock.now();
             let mut gate = self.gate.lock().expect("gate lock");
@@ -268,21 +268,21 @@
             if started.is_empty() {
                 return;
             }
-            let mut unwanted = Vec::new();
+            let mut undelivered = Vec::new();
             let mut waiters = self.waiters.lock().expect("waiters lock");
             for (ticket, assignment) in started {
                 let sent = waiters
                     .remove(&ticket)
                     .is_some_and(|tx| tx.send(Ok(assignment)).is_ok());
                 if !sent {
-                    unwanted.push(assignment);
+                    undelivered.push(assignment);
                 }
             }
             drop(waiters);
-            for assignment in &unwanted {
+            for assignment in &undelivered {
                 gate.finish(now, *assignment, Exchange::Unsent);
             }
-            if unwanted.is_empty() {
+            if undelivered.is_empty() {
                 return;
             }
         }
@@ -298,12 +298,12 @@
     /// Refuses waiting requests that can no longer meet their deadlines.
     pub fn expire(&self) {
         let now = self.clock.now();
-        let late = self.gate.lock().expect("gate lock").expire(now);
-        if late.is_empty() {
+        let expired = self.gate.lock().expect("gate lock").expire(now);
+        if expired.is_empty() {
             return;
         }
         let mut waiters = self.waiters.lock().expect("waiters lock");
-        for ticket in late {
+        for ticket in expired {
             if let Some(tx) = waiters.remove(&ticket) {
                 let _ = tx.send(Err(refusal(Kind::DeadlineUnmeetable)));
             }
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -14,7 +14,7 @@
 use support::{CONFIG, Cell, PATIENCE};
 use tokio::time::{Instant, sleep};
 
-const NINE: [&str; 9] = ["a", "b", "c", "d", "a", "b", "c", "d", "a"];
+const ZONES_OF_NINE: [&str; 9] = ["a", "b", "c", "d", "a", "b", "c", "d", "a"];
 
 fn show(name: &str, value: Duration, bound: Duration) {
     println!("{name:<44}{value:>12.1?}{bound:>12.1?}");
@@ -22,7 +22,7 @@
 }
 
 /// Returns the CPU time that a process has used, and its resident memory in bytes.
-fn cost(pid: u32) -> (Duration, u64) {
+fn usage(pid: u32) -> (Duration, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("stat");
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -54,15 +54,15 @@
 
 /// Returns the highest resource usage of any instance over `length`: CPU in percent of a core,
 /// resident memory in bytes, and bytes sent per second.
-async fn highest_of(cell: &Cell, length: Duration) -> (f64, u64, u64) {
+async fn highest_usage(cell: &Cell, length: Duration) -> (f64, u64, u64) {
     let mut before = Vec::new();
     for at in 0..cell.instances.len() {
-        before.push((cost(cell.instances[at].pid()), sent_bytes(cell, at).await));
+        before.push((usage(cell.instances[at].pid()), sent_bytes(cell, at).await));
     }
     sleep(length).await;
     let mut highest: (f64, u64, u64) = (0.0, 0, 0);
     for (at, ((cpu, _), bytes)) in before.into_iter().enumerate() {
-        let (cpu_after, memory) = cost(cell.instances[at].pid());
+        let (cpu_after, memory) = usage(cell.instances[at].pid());
         let sent = sent_bytes(cell, at).await - bytes;
         let part = (cpu_after - cpu).as_secs_f64() / length.as_secs_f64() * 100.0;
         highest.0 = highest.0.max(part);
@@ -82,7 +82,7 @@
 
 figures! {
     async fn spread_of_changes() {
-        let cell = Cell::serving(&NINE, 1, Duration::from_millis(5)).await;
+        let cell = Cell::serving(&ZONES_OF_NINE, 1, Duration::from_millis(5)).await;
         let mut slowest = Duration::ZERO;
         for version in 1..11 {
             let text = CONFIG.replace("share = 3", &format!("share = {}", 3 + version));
@@ -123,7 +123,7 @@
     }
 
     async fn fail_over() {
-        let mut cell = Cell::serving(&NINE, 1, Duration::from_millis(5)).await;
+        let mut cell = Cell::serving(&ZONES_OF_NINE, 1, Duration::from_millis(5)).await;
         let leader = cell.status(8).await[0].root_leader.clone().expect("known");
         let at = cell.instances.iter().position(|i| i.name == leader).expect("known");
         let started = Instant::now();
@@ -158,9 +158,9 @@
     }
 
     async fn cost_of_control() {
-        let cell = Cell::serving(&NINE, 2, Duration::from_millis(5)).await;
+        let cell = Cell::serving(&ZONES_OF_NINE, 2, Duration::from_millis(5)).await;
         sleep(Duration::from_secs(3)).await;
-        let (cpu, memory, bytes) = highest_of(&cell, Duration::from_secs(10)).await;
+        let (cpu, memory, bytes) = highest_usage(&cell, Duration::from_secs(10)).await;
         println!("idle, highest of all instances: {cpu:.2} % of a core, {:.1} MB, {bytes} B/s", memory as f64 / 1e6);
         assert!(cpu <= 1.8, "{cpu} %");
         assert!(memory <= 32 << 20, "{memory} bytes");
@@ -243,10 +243,10 @@
     #[ignore = "timed"]
     async fn slope_of_instances() {
         for count in [3, 6, 12] {
-            let zones: Vec<&str> = (0..count).map(|at| NINE[at % 4]).collect();
+            let zones: Vec<&str> = (0..count).map(|at| ZONES_OF_NINE[at % 4]).collect();
             let cell = Cell::serving(&zones, 1, Duration::from_millis(5)).await;
             sleep(Duration::from_secs(3)).await;
-            let (cpu, memory, bytes) = highest_of(&cell, Duration::from_secs(10)).await;
+            let (cpu, memory, bytes) = highest_usage(&cell, Duration::from_secs(10)).await;
             println!(
                 "{count} instances: {cpu:.2} %, {:.1} MB, {bytes} B/s",
                 memory as f64 / 1e6
@@ -281,7 +281,7 @@
                 started += 1;
             }
             sleep(Duration::from_secs(5)).await;
-            let (cpu, memory, bytes) = highest_of(&cell, Duration::from_secs(8)).await;
+            let (cpu, memory, bytes) = highest_usage(&cell, Duration::from_secs(8)).await;
             println!(
                 "{count} workers: {cpu:.2} %, {:.1} MB, {bytes} B/s",
                 memory as f64 / 1e6
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -66,7 +66,7 @@
     let (mut ahead, mut behind) = (Ring::new("a".to_owned()), Ring::new("b".to_owned()));
     ahead.push(20_000, Event::Draining {});
     behind.push(9_000, Event::Draining {});
-    behind.hear(ahead.stamp(), 10_000);
+    behind.merge(ahead.stamp(), 10_000);
     behind.push(10_001, Event::Stopped {});
     let sent = ahead.after(0, 10)[0].at;
     let records = behind.after(0, 10);
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -30,7 +30,7 @@
                 let dropping = Arc::clone(&dropping);
                 tokio::spawn(async move {
                     if let Ok(far) = TcpStream::connect(target).await {
-                        carry(near, far, dropping).await;
+                        forward_both(near, far, dropping).await;
                     }
                 });
             }
@@ -39,22 +39,22 @@
     }
 
     /// Starts or stops dropping data. Connections that lost data stay broken.
-    pub fn drop_all(&self, dropping: bool) {
+    pub fn set_dropping(&self, dropping: bool) {
         self.dropping.store(dropping, Ordering::Relaxed);
     }
 }
 
-async fn carry(near: TcpStream, far: TcpStream, dropping: Arc<AtomicBool>) {
+async fn forward_both(near: TcpStream, far: TcpStream, dropping: Arc<AtomicBool>) {
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
     let lost: Arc<AtomicBool> = Arc::default();
-    let there = pass(
+    let there = forward(
         near_read,
         far_write,
         Arc::clone(&dropping),
         Arc::clone(&lost),
     );
-    let back = pass(far_read, near_write, dropping, lost);
+    let back = forward(far_read, near_write, dropping, lost);
     tokio::select! {
         () = there => {}
         () = back => {}
@@ -62,7 +62,7 @@
 }
 
 // Forwards data in one direction. A connection that lost data never forwards any again.
-async fn pass(
+async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     dropping: Arc<AtomicBool>,
--- a/tests/timed.rs
+++ b/tests/timed.rs
@@ -201,7 +201,7 @@
             // At two points, every connection that carries data is lost permanently.
             let dropping = turn == 20 || turn == 60;
             for relay in &relays {
-                relay.drop_all(dropping);
+                relay.set_dropping(dropping);
             }
             let id = format!("lost-{turn}");
             let headers = [("idempotency-key", id.as_str()), ("x-deadline-ms", "500")];
