--- a/src/http/proxy.rs
+++ b/src/http/proxy.rs
@@ -205,7 +205,7 @@
                 Ok(Some(attempt))
             }
             Ok(Answer::Verdict(Verdict::Repeat(answer))) => {
-                Err(ClaimError::Repeat(stored_response(answer)))
+                Err(ClaimError::Repeat(restore(answer)))
             }
             Ok(Answer::Verdict(Verdict::Refused(kind))) => Err(refused(kind.into())),
             Ok(_) => Err(refused(Kind::Internal.into())),
@@ -426,7 +426,7 @@
 }
 
 // Restores a response that was stored with a claim.
-fn stored_response(answer: claim::Answer) -> FullResponse {
+fn restore(answer: claim::Answer) -> FullResponse {
     let mut response = Response::new(Bytes::from(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let content_type = answer
