--- a/src/http/proxy.rs
+++ b/src/http/proxy.rs
@@ -143,11 +143,11 @@
         });
         let claim = match self.claim(&incoming).await {
             Ok(claim) => claim,
-            Err(ClaimError::Repeat(answer)) => {
+            Err(Denial::Repeat(answer)) => {
                 self.respond(&incoming, responder, Ok(answer));
                 return;
             }
-            Err(ClaimError::Refused(refused)) => {
+            Err(Denial::Refused(refused)) => {
                 self.respond(&incoming, responder, Err(refused));
                 return;
             }
@@ -170,7 +170,7 @@
 
     /// Claims the id of a non-idempotent request that the caller may repeat, so that it runs
     /// at most once.
-    async fn claim(&self, incoming: &Incoming) -> Result<Option<Attempt>, ClaimError> {
+    async fn claim(&self, incoming: &Incoming) -> Result<Option<Attempt>, Denial> {
         if incoming.idempotent || !incoming.id_from_caller {
             return Ok(None);
         }
@@ -182,7 +182,7 @@
             claim::home_zone(id, zones).map(str::to_owned)
         });
         let Some(home) = home else {
-            return Err(ClaimError::Refused(ErrorResponse::new(
+            return Err(Denial::Refused(ErrorResponse::new(
                 Kind::ClaimUnavailable,
                 &incoming.id,
             )));
@@ -195,7 +195,7 @@
             minted_age: incoming.generated_age,
         };
         let query = Query::Claim(attempt.clone());
-        let refused = |error: Error| ClaimError::Refused(ErrorResponse::new(error, &incoming.id));
+        let refused = |error: Error| Denial::Refused(ErrorResponse::new(error, &incoming.id));
         match self.node.ask(Target::Zone(home.clone()), query).await {
             Ok(Answer::Verdict(Verdict::Granted)) => {
                 traffic.record(Event::RequestClaimed {
@@ -204,9 +204,7 @@
                 });
                 Ok(Some(attempt))
             }
-            Ok(Answer::Verdict(Verdict::Repeat(answer))) => {
-                Err(ClaimError::Repeat(restore(answer)))
-            }
+            Ok(Answer::Verdict(Verdict::Repeat(answer))) => Err(Denial::Repeat(restore(answer))),
             Ok(Answer::Verdict(Verdict::Refused(kind))) => Err(refused(kind.into())),
             Ok(_) => Err(refused(Kind::Internal.into())),
             Err(err) => {
@@ -386,7 +384,7 @@
 pub(super) type Responder = oneshot::Sender<Result<FullResponse, ErrorResponse>>;
 
 /// Reason why a claim was not granted.
-enum ClaimError {
+enum Denial {
     /// The request ran before, with this response.
     Repeat(FullResponse),
     Refused(ErrorResponse),
