--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -15,7 +15,7 @@
 use crate::event::Event;
 
 impl Proxy {
-    // Releases the slot of an attempt. If the upstream may still be working on the request,
+    // Releases the slot of an attempt. While the upstream may still be working on the request,
     // the slot stays reserved until the run limit has passed.
     pub(super) fn release(&self, assignment: Assignment, outcome: &Outcome) {
         let traffic = Arc::clone(&self.node.traffic);
@@ -118,11 +118,11 @@
             }
         };
         let (head, body) = response.into_parts();
-        let crossed = head
+        let is_mismatched = head
             .headers
             .get(REQUEST_ID)
             .is_some_and(|id| id.as_bytes() != incoming.id.as_bytes());
-        if crossed {
+        if is_mismatched {
             connection.close();
             let message = format!("{} answered with the id of another request", target.name);
             return Outcome::Failed(Kind::BadAnswer, message, Some(run_until));
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -148,16 +148,16 @@
         idle.get_mut(&address)?.pop()
     }
 
-    /// Returns a connection to the pool after a complete exchange. Closes it if `keep` idle
-    /// connections to the same address are already pooled.
-    pub fn put(&self, connection: Connection, keep: usize) {
+    /// Returns a connection to the pool after a complete exchange. Closes it if `idle_max`
+    /// idle connections to the same address are already pooled.
+    pub fn put(&self, connection: Connection, idle_max: usize) {
         if connection.sender.is_closed() {
             connection.close();
             return;
         }
         let mut idle = self.idle.lock().expect("pool lock");
         let list = idle.entry(connection.address).or_default();
-        if list.len() >= keep {
+        if list.len() >= idle_max {
             drop(idle);
             connection.close();
             return;
--- a/src/node.rs
+++ b/src/node.rs
@@ -102,7 +102,7 @@
         let _ = self.commands.send(Command::Leave).await;
     }
 
-    /// Returns all allotted slots and units and gives up zone leadership.
+    /// Returns all idle allotted slots and units and gives up zone leadership.
     pub async fn resign(&self) {
         let (done, wait) = oneshot::channel();
         if self.commands.send(Command::Resign(done)).await.is_ok() {
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -64,8 +64,8 @@
     for (at, ((cpu, _), bytes)) in before.into_iter().enumerate() {
         let (cpu_after, memory) = usage(cell.instances[at].pid());
         let sent = sent_bytes(cell, at).await - bytes;
-        let part = (cpu_after - cpu).as_secs_f64() / length.as_secs_f64() * 100.0;
-        highest.0 = highest.0.max(part);
+        let cpu_percent = (cpu_after - cpu).as_secs_f64() / length.as_secs_f64() * 100.0;
+        highest.0 = highest.0.max(cpu_percent);
         highest.1 = highest.1.max(memory);
         highest.2 = highest.2.max((sent as f64 / length.as_secs_f64()) as u64);
     }
