--- a/src/driver.rs
+++ b/src/driver.rs
@@ -1,4 +1,5 @@
-//! The control thread: inputs in, effects out, records synced in between.
+//! Event loop of the control thread. It feeds inputs to the control state machine, syncs the
+//! resulting records to disk, and only then carries out the effects.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,19 +15,19 @@
 use crate::core::time::Moment;
 use crate::event::{Event, Stamp};
 use crate::net::{Link, Mesh, Notice};
-use crate::node::Order;
+use crate::node::Command;
 use crate::store::Wal;
 use crate::traffic::{Traffic, View};
 use crate::wire::Body;
 
-/// Interval of the control loop's ticks.
-const TICK_EVERY: Duration = Duration::from_millis(50);
-/// Inputs taken before the log is synced once for all of them.
-const BATCH_MAX: usize = 512;
-/// A gap between ticks above this counts as a pause of the process.
+/// Interval of the periodic tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of inputs handled per sync of the log.
+const BATCH_INPUTS_MAX: usize = 512;
+/// Gap between ticks above which an event reports that the process was paused.
 const PAUSE_MIN: Duration = Duration::from_millis(1_000);
 
-/// What the latest published view was made of.
+/// Counters that identify the content of the latest published view, to publish only changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Published {
     version: u64,
@@ -35,7 +36,7 @@
     zones: usize,
 }
 
-/// The control thread's loop.
+/// State of the control thread's event loop.
 pub struct Driver {
     pub(crate) control: Control,
     pub(crate) wal: Option<Wal>,
@@ -54,9 +55,9 @@
     pub async fn run(
         mut self,
         mut inbox: mpsc::Receiver<Notice>,
-        mut orders: mpsc::Receiver<Order>,
+        mut commands: mpsc::Receiver<Command>,
     ) {
-        let mut ticks = interval(TICK_EVERY);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_tick = self.now();
         loop {
@@ -65,23 +66,23 @@
                 () = self.stop.cancelled() => return,
                 _ = ticks.tick() => {
                     let now = self.now();
-                    self.note_pause(now.since(last_tick));
+                    self.record_pause(now.since(last_tick));
                     last_tick = now;
                     self.step(Input::Tick);
                 }
-                Some(notice) = inbox.recv() => self.take_notice(notice),
-                Some(order) = orders.recv() => self.take_order(order),
+                Some(notice) = inbox.recv() => self.handle_notice(notice),
+                Some(command) = commands.recv() => self.handle_command(command),
             }
-            for _ in 0..BATCH_MAX {
+            for _ in 0..BATCH_INPUTS_MAX {
                 if let Ok(notice) = inbox.try_recv() {
-                    self.take_notice(notice);
-                } else if let Ok(order) = orders.try_recv() {
-                    self.take_order(order);
+                    self.handle_notice(notice);
+                } else if let Ok(command) = commands.try_recv() {
+                    self.handle_command(command);
                 } else {
                     break;
                 }
             }
-            self.settle();
+            self.flush();
         }
     }
 
@@ -89,7 +90,7 @@
         self.traffic.clock.now()
     }
 
-    fn note_pause(&self, gap: Duration) {
+    fn record_pause(&self, gap: Duration) {
         if gap > PAUSE_MIN {
             let millis = u64::try_from(gap.as_millis()).unwrap_or(u64::MAX);
             self.traffic.record(Event::Paused { millis });
@@ -99,10 +100,10 @@
     fn step(&mut self, input: Input) {
         let now = self.now();
         let effects = self.control.step(now, input);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    fn take_notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: Notice) {
         match notice {
             Notice::Up(peer, link) => {
                 let links = self.links.entry(peer.id).or_default();
@@ -126,7 +127,7 @@
                         millis: ping.stamp_millis,
                         count: ping.stamp_count,
                     };
-                    self.traffic.hear_stamp(stamp);
+                    self.traffic.merge_stamp(stamp);
                 }
                 self.step(Input::Message(from, body));
             }
@@ -134,22 +135,22 @@
         }
     }
 
-    fn take_order(&mut self, order: Order) {
-        match order {
-            Order::Ask(question) => {
+    fn handle_command(&mut self, command: Command) {
+        match command {
+            Command::Ask(pending) => {
                 self.next_call += 1;
                 let call = self.next_call;
-                self.replies.insert(call, question.reply);
+                self.replies.insert(call, pending.reply);
                 self.step(Input::Ask {
                     call,
-                    target: question.target,
-                    query: question.query,
+                    target: pending.target,
+                    query: pending.query,
                 });
             }
-            Order::Leave => self.step(Input::Leave),
-            Order::Resign(done) => {
+            Command::Leave => self.step(Input::Leave),
+            Command::Resign(done) => {
                 self.traffic.gate.lock().expect("gate lock").return_all();
-                // The returned counters go out with this tick.
+                // The tick sends the returned allotments to the zone leaders.
                 self.step(Input::Tick);
                 self.control.resign();
                 let _ = done.send(());
@@ -157,8 +158,8 @@
         }
     }
 
-    // Stores, sends and applies until nothing is left to do.
-    fn settle(&mut self) {
+    // Stores pending records and carries out their effects until there are none left.
+    fn flush(&mut self) {
         loop {
             let now = self.now();
             let ready = self.control.take_ready(now);
@@ -170,22 +171,23 @@
             }
         }
         self.compact();
-        self.traffic.pump();
+        self.traffic.dispatch();
     }
 
-    // False if the disk refused; nothing is sent before it takes the records.
+    // Returns false if the disk write failed. Nothing that depends on the records is sent
+    // before they are stored.
     fn store_backlog(&mut self) -> bool {
         while !self.backlog.is_empty() {
             let ready = &self.backlog[0];
             if let Some(wal) = &mut self.wal
                 && let Err(err) = wal.store(ready)
             {
-                log::error!("the data folder takes no records: {err}");
+                log::error!("cannot write records to the data folder: {err}");
                 return false;
             }
             let ready = self.backlog.remove(0);
             let effects = self.control.stored(self.traffic.clock.now(), ready);
-            self.carry_out(effects);
+            self.apply_effects(effects);
         }
         true
     }
@@ -202,11 +204,11 @@
         if let Some(wal) = &mut self.wal
             && let Err(err) = wal.compact(&snapshot, &entries)
         {
-            log::error!("the snapshot was not stored: {err}");
+            log::error!("cannot write the snapshot: {err}");
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(to, body) => self.send(to, body),
@@ -229,8 +231,8 @@
             let stamp = self.traffic.stamp();
             ping.stamp_millis = stamp.millis;
             ping.stamp_count = stamp.count;
-            // Two instances that dialed each other have two links, and a link that
-            // carries nothing is closed by its far end.
+            // Two instances that dialed each other have two links. Pings go over both, because
+            // the peer closes a link on which it receives nothing.
             for link in links {
                 link.send(body.clone());
             }
@@ -264,6 +266,6 @@
         }
         let root = self.control.root_vouches_until();
         let zone = self.control.zone_vouches_until();
-        self.traffic.set_fresh(root, zone);
+        self.traffic.set_verified_until(root, zone);
     }
 }
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams: one exchange at a time on each, and none reused
-//! after anything went wrong on it.
+//! Pool of HTTP/1 connections to upstreams and workers. A connection carries one exchange at
+//! a time and is not reused after an error.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,49 +15,50 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time for a connection to come up.
+/// Time limit to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Unacknowledged data closes a connection after this long.
+/// Time after which unacknowledged data closes a connection (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// An idle connection is closed after this long.
-const IDLE_MAX: Duration = Duration::from_secs(5);
-/// A connection is proven for non-idempotent requests this long after an exchange.
-const PROVEN_FOR: Duration = Duration::from_millis(500);
-/// Largest head of an answer, in bytes.
-const HEAD_MAX: usize = 64 << 10;
-
-/// A connection that is ready for one exchange.
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest idle time of a connection that may carry a non-idempotent request. The connection
+/// may have been lost unnoticed, and then such a request cannot be retried.
+const NON_IDEMPOTENT_IDLE_MAX: Duration = Duration::from_millis(500);
+/// Largest head of a response.
+const HEAD_MAX_BYTES: usize = 64 << 10;
+
+/// An open connection without a running exchange.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends the request.
+    /// Sender for the next request.
     pub sender: SendRequest<Full<Bytes>>,
     driver: tokio::task::AbortHandle,
     address: SocketAddr,
-    _slot: Slot,
+    _permit: Permit,
 }
 
-// Counts a connection for as long as it is there.
+// Permit for one open connection, returned when dropped.
 #[derive(Debug)]
-struct Slot(Arc<AtomicUsize>);
+struct Permit(Arc<AtomicUsize>);
 
-impl Slot {
-    // None if `most` are open.
-    fn take(open: &Arc<AtomicUsize>, most: usize) -> Option<Self> {
-        let one_more = |count: usize| (count < most).then_some(count + 1);
+impl Permit {
+    // Returns `None` if `max_open` connections are open.
+    fn acquire(open: &Arc<AtomicUsize>, max_open: usize) -> Option<Self> {
+        let one_more = |count: usize| (count < max_open).then_some(count + 1);
         open.fetch_update(Ordering::AcqRel, Ordering::Acquire, one_more)
             .is_ok()
             .then(|| Self(Arc::clone(open)))
     }
 }
 
-impl Drop for Slot {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Connection {
-    /// Closes the connection at once.
+    /// Closes the connection immediately, without waiting for a running exchange.
     pub fn close(self) {
         self.driver.abort();
     }
@@ -74,7 +75,7 @@
 pub struct Pool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
     open: Arc<AtomicUsize>,
-    most: usize,
+    max_open: usize,
 }
 
 impl Default for Pool {
@@ -84,28 +85,32 @@
 }
 
 impl Pool {
-    /// Makes a pool that has at most `most` connections open, in use or idle.
-    pub fn with_most(most: usize) -> Self {
+    /// Creates a pool that keeps at most `max_open` connections open, in use or idle.
+    pub fn with_most(max_open: usize) -> Self {
         Self {
             idle: Mutex::default(),
             open: Arc::default(),
-            most,
+            max_open,
         }
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections, in use or idle.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Takes an idle connection that was proven lately, or opens a new one.
+    /// Returns an idle connection that was used recently enough, or opens a new one.
     ///
     /// # Errors
     ///
-    /// Fails if the upstream cannot be reached or all connections that may be open are in
-    /// use; nothing has been sent then.
+    /// Fails if the upstream cannot be reached or the maximum number of connections is in use.
+    /// No request has been sent in either case.
     pub async fn take(&self, address: SocketAddr, idempotent: bool) -> std::io::Result<Connection> {
-        let age_max = if idempotent { IDLE_MAX } else { PROVEN_FOR };
+        let age_max = if idempotent {
+            IDLE_TIMEOUT
+        } else {
+            NON_IDEMPOTENT_IDLE_MAX
+        };
         while let Some(idle) = self.pop(address) {
             let usable = idle.since.elapsed() < age_max && !idle.connection.sender.is_closed();
             if usable && idle.connection.sender.is_ready() {
@@ -113,17 +118,17 @@
             }
             idle.connection.close();
         }
-        connect(address, self.slot()?).await
+        connect(address, self.acquire_permit()?).await
     }
 
-    // Idle connections to others make way, the longest idle first.
-    fn slot(&self) -> std::io::Result<Slot> {
+    // At the limit, closes idle connections to any address, the longest idle first.
+    fn acquire_permit(&self) -> std::io::Result<Permit> {
         loop {
-            if let Some(slot) = Slot::take(&self.open, self.most) {
-                return Ok(slot);
+            if let Some(permit) = Permit::acquire(&self.open, self.max_open) {
+                return Ok(permit);
             }
             let Some(oldest) = self.pop_oldest() else {
-                let message = format!("{} connections are in use", self.most);
+                let message = format!("connection limit reached: {} in use", self.max_open);
                 return Err(std::io::Error::other(message));
             };
             oldest.connection.close();
@@ -133,7 +138,7 @@
     fn pop_oldest(&self) -> Option<Idle> {
         let mut idle = self.idle.lock().expect("pool lock");
         let lists = idle.iter().filter(|(_, list)| !list.is_empty());
-        // Connections are taken from the end of a list, so that the first is the oldest.
+        // Lists are used as stacks, so the first connection of each has been idle longest.
         let (&address, _) = lists.min_by_key(|(_, list)| list[0].since)?;
         Some(idle.get_mut(&address)?.remove(0))
     }
@@ -143,15 +148,16 @@
         idle.get_mut(&address)?.pop()
     }
 
-    /// Keeps a connection after a whole exchange, if fewer than `keep` are idle.
-    pub fn put(&self, connection: Connection, keep: usize) {
+    /// Returns a connection to the pool after a complete exchange. Closes it if `idle_max`
+    /// idle connections to the same address are already pooled.
+    pub fn put(&self, connection: Connection, idle_max: usize) {
         if connection.sender.is_closed() {
             connection.close();
             return;
         }
         let mut idle = self.idle.lock().expect("pool lock");
         let list = idle.entry(connection.address).or_default();
-        if list.len() >= keep {
+        if list.len() >= idle_max {
             drop(idle);
             connection.close();
             return;
@@ -162,12 +168,13 @@
         });
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         let mut idle = self.idle.lock().expect("pool lock");
         for list in idle.values_mut() {
-            let (keep, old): (Vec<Idle>, Vec<Idle>) =
-                list.drain(..).partition(|i| i.since.elapsed() < IDLE_MAX);
+            let (keep, old): (Vec<Idle>, Vec<Idle>) = list
+                .drain(..)
+                .partition(|i| i.since.elapsed() < IDLE_TIMEOUT);
             *list = keep;
             for idle in old {
                 idle.connection.close();
@@ -177,7 +184,7 @@
     }
 }
 
-async fn connect(address: SocketAddr, slot: Slot) -> std::io::Result<Connection> {
+async fn connect(address: SocketAddr, permit: Permit) -> std::io::Result<Connection> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
@@ -190,7 +197,7 @@
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)?;
     let (sender, driver) = http1::Builder::new()
-        .max_buf_size(HEAD_MAX)
+        .max_buf_size(HEAD_MAX_BYTES)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
@@ -201,6 +208,6 @@
         sender,
         driver: driver.abort_handle(),
         address,
-        _slot: slot,
+        _permit: permit,
     })
 }
--- a/src/merge.rs
+++ b/src/merge.rs
@@ -1,4 +1,4 @@
-//! Reading, merging and checking of a configuration folder.
+//! Reads, merges and validates a configuration folder.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::{
-    Cell, Config, NAME_MAX, Order, Policy, Queue, SHARE_MAX, Service, StaleKeys, Team,
+    Cell, Config, NAME_MAX_BYTES, Order, Policy, Queue, SHARE_MAX, Service, StaleKeys, Team,
 };
 use crate::util::{parse_duration, parse_size};
 
@@ -19,9 +19,9 @@
 pub struct Fault {
     /// File name within the folder.
     pub file: String,
-    /// Line number from 1, or 0 if it concerns the whole file.
+    /// Line number from 1, or 0 if the error concerns the whole file.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -37,11 +37,11 @@
 pub struct Source {
     /// File name within the folder.
     pub name: String,
-    /// Content.
+    /// Content of the file.
     pub text: String,
 }
 
-/// Reads the `.ini` files of a folder in the order of their names.
+/// Reads the `.ini` files of a folder, sorted by name.
 ///
 /// # Errors
 ///
@@ -65,11 +65,11 @@
     Ok(sources)
 }
 
-/// Merges files in the given order.
+/// Merges files in the given order; later values override earlier ones.
 ///
 /// # Errors
 ///
-/// Returns every fault found, in the order of files and lines.
+/// Returns all errors found, sorted by file and line.
 pub fn merge(sources: &[Source]) -> Result<Config, Vec<Fault>> {
     let mut merger = Merger::default();
     for source in sources {
@@ -84,9 +84,9 @@
     }
 }
 
-/// Where a value came from, for errors found after merging.
+/// File and line of a value, for errors found after merging.
 #[derive(Clone, Debug)]
-struct Place {
+struct Origin {
     file: String,
     line: usize,
 }
@@ -95,7 +95,8 @@
 struct Merger {
     config: Config,
     faults: Vec<Fault>,
-    places: BTreeMap<(String, String), Place>,
+    /// Origins by section and key; the key is empty for the section itself.
+    origins: BTreeMap<(String, String), Origin>,
 }
 
 impl Merger {
@@ -103,7 +104,7 @@
         let ini = match Ini::load_from_str(&source.text) {
             Ok(ini) => ini,
             Err(err) => {
-                self.fault(&source.name, err.line, err.msg.to_string());
+                self.add_fault(&source.name, err.line, err.msg.to_string());
                 return;
             }
         };
@@ -112,7 +113,7 @@
             let Some(section) = section else {
                 if let Some((key, _)) = values.iter().next() {
                     let line = line_of(&source.text, "", 0, Some(key));
-                    self.fault(&source.name, line, "key outside of any section");
+                    self.add_fault(&source.name, line, "key outside of any section");
                 }
                 continue;
             };
@@ -120,7 +121,7 @@
             seen.insert(section.to_owned(), nth + 1);
             let at = line_of(&source.text, section, nth, None);
             if nth > 0 {
-                self.fault(
+                self.add_fault(
                     &source.name,
                     at,
                     format!("section [{section}] stands twice"),
@@ -131,30 +132,30 @@
             for (key, value) in values.iter() {
                 let line = line_of(&source.text, section, nth, Some(key));
                 if let Err(message) = self.add_value(section, key, value) {
-                    self.fault(&source.name, line, message);
+                    self.add_fault(&source.name, line, message);
                 }
-                let place = Place {
+                let origin = Origin {
                     file: source.name.clone(),
                     line,
                 };
-                self.places
-                    .insert((section.to_owned(), key.to_owned()), place);
+                self.origins
+                    .insert((section.to_owned(), key.to_owned()), origin);
             }
         }
     }
 
     fn add_section(&mut self, source: &Source, section: &str, line: usize) {
-        let place = Place {
+        let origin = Origin {
             file: source.name.clone(),
             line,
         };
-        self.places
+        self.origins
             .entry((section.to_owned(), String::new()))
-            .or_insert(place);
+            .or_insert(origin);
         let (kind, name) = split_section(section);
         if kind != "cell" && !is_name(name) {
             let message = format!("[{section}] needs a name of letters, digits, `-`, `_` or `.`");
-            self.fault(&source.name, line, message);
+            self.add_fault(&source.name, line, message);
             return;
         }
         match kind {
@@ -172,7 +173,7 @@
             "queue" => {
                 self.config.queues.entry(name.to_owned()).or_default();
             }
-            _ => self.fault(&source.name, line, format!("unknown section [{section}]")),
+            _ => self.add_fault(&source.name, line, format!("unknown section [{section}]")),
         }
     }
 
@@ -198,48 +199,48 @@
     }
 
     fn check_references(&mut self) {
-        let mut found: Vec<(String, String, String)> = Vec::new();
+        let mut errors: Vec<(String, String, String)> = Vec::new();
         let fleet = self.config.cell.fleet;
         for (name, team) in &self.config.teams {
             let section = format!("team {name}");
             if team.share == 0 {
                 let message = format!("team {name} needs a share of at least 1");
-                found.push((section.clone(), "share".into(), message));
+                errors.push((section.clone(), "share".into(), message));
             }
             if team.limit == 0 {
                 let message = format!("team {name} needs a limit of at least 1");
-                found.push((section.clone(), "limit".into(), message));
+                errors.push((section.clone(), "limit".into(), message));
             }
             if fleet > 0 && team.limit > fleet {
                 let message = format!("limit {} is above the fleet of {fleet}", team.limit);
-                found.push((section, "limit".into(), message));
+                errors.push((section, "limit".into(), message));
             }
         }
         let services = self.config.services.iter();
         let queues = self.config.queues.iter();
-        let opens = services
+        let open_teams = services
             .map(|(name, s)| (format!("service {name}"), &s.open))
             .chain(queues.map(|(name, q)| (format!("queue {name}"), &q.open)));
-        for (section, open) in opens {
+        for (section, open) in open_teams {
             if let Some(team) = open
                 && !self.config.teams.contains_key(team)
             {
                 let message = format!("team {team} does not exist");
-                found.push((section, "open".into(), message));
+                errors.push((section, "open".into(), message));
             }
         }
-        for (section, key, message) in found {
-            let place = self
-                .places
+        for (section, key, message) in errors {
+            let origin = self
+                .origins
                 .get(&(section.clone(), key))
-                .or_else(|| self.places.get(&(section, String::new())))
+                .or_else(|| self.origins.get(&(section, String::new())))
                 .cloned();
-            let (file, line) = place.map_or((String::new(), 0), |p| (p.file, p.line));
-            self.fault(&file, line, message);
+            let (file, line) = origin.map_or((String::new(), 0), |p| (p.file, p.line));
+            self.add_fault(&file, line, message);
         }
     }
 
-    fn fault(&mut self, file: &str, line: usize, message: impl Into<String>) {
+    fn add_fault(&mut self, file: &str, line: usize, message: impl Into<String>) {
         self.faults.push(Fault {
             file: file.to_owned(),
             line,
@@ -301,7 +302,7 @@
         "body-limit" => service.body_limit = parse_size(value)?,
         "answer-limit" => service.answer_limit = parse_size(value)?,
         "queue-limit" => service.queue_limit = number(value)?,
-        "post-idempotent" => service.post_idempotent = flag(value)?,
+        "post-idempotent" => service.post_idempotent = yes_or_no(value)?,
         "open" => service.open = Some(value.to_owned()),
         _ => return Err(format!("unknown key `{key}` in [service]")),
     }
@@ -329,7 +330,7 @@
         .map_err(|_| format!("`{value}` is not a whole number in range"))
 }
 
-fn flag(value: &str) -> Result<bool, String> {
+fn yes_or_no(value: &str) -> Result<bool, String> {
     match value {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -352,13 +353,15 @@
     }
 }
 
-/// Returns whether `name` may name a team, service, queue, zone or instance.
+/// Returns whether `name` is valid for a team, service, queue, zone, instance, key or job:
+/// letters, digits, `-`, `_` and `.`, with limited length.
 pub fn is_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= NAME_MAX && name.bytes().all(allowed)
+    !name.is_empty() && name.len() <= NAME_MAX_BYTES && name.bytes().all(allowed)
 }
 
-/// Finds the line, from 1, of the `nth` section of a name or of a key in it.
+/// Returns the line number, from 1, of the `nth` section (from 0) with the given name, or of a
+/// key in it. Returns 0 if there is none.
 pub fn line_of(text: &str, section: &str, nth: usize, key: Option<&str>) -> usize {
     let mut inside = section.is_empty();
     let mut left = nth;
