--- a/src/bin/plantaincrossd.rs
+++ b/src/bin/plantaincrossd.rs
@@ -1,4 +1,4 @@
-//! The daemon that runs on every entry instance.
+//! The daemon of an entry instance.
 
 use std::process::ExitCode;
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `plantaincross check FOLDER`
+//! `plantaincross check FOLDER`: validates a configuration folder offline.
 
 use std::path::PathBuf;
 
@@ -6,13 +6,13 @@
 use crate::config::{merge, read_folder};
 use crate::error::{Error, Kind, Result};
 
-/// Checks a configuration folder before it is pushed.
+/// Validates a configuration folder without contacting an instance.
 ///
-/// Prints every error as `file:line: message` and exits with 1 if there is one.
-/// Talks to no instance.
+/// Prints every error as `file:line: message` and exits with status 1 if there are
+/// any.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Folder with the `.ini` files
+    /// Folder that holds the `.ini` files
     folder: PathBuf,
 }
 
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the folder cannot be read or has errors.
+/// Fails if the folder cannot be read or its configuration is invalid.
 pub fn run(args: &Args) -> Result<()> {
     let sources = read_folder(&args.folder).map_err(|err| {
         Error::new(
@@ -41,7 +41,7 @@
             for fault in &faults {
                 print(fault)?;
             }
-            let message = format!("{} errors", faults.len());
+            let message = format!("configuration has {} errors", faults.len());
             Err(Error::new(Kind::InvalidConfig, message))
         }
     }
--- a/src/cmd/daemon.rs
+++ b/src/cmd/daemon.rs
@@ -1,4 +1,4 @@
-//! `plantaincrossd --settings FILE`
+//! `plantaincrossd --settings FILE`: runs an entry instance.
 
 use std::path::PathBuf;
 
@@ -13,12 +13,12 @@
 
 /// Runs one entry instance until SIGTERM or SIGINT, then stops gracefully.
 ///
-/// A planned stop takes the drain notice plus the time of the longest running
-/// request; nothing that runs is cut.
+/// A graceful stop takes the drain notice plus the remaining time of the longest
+/// running request; running requests are not interrupted.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Args {
-    /// Settings of the instance
+    /// Settings file of the instance
     #[arg(long)]
     settings: PathBuf,
 }
@@ -27,8 +27,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the settings are wrong, an address is taken or the data folder cannot
-/// be used.
+/// Fails if the settings are invalid, an address is already in use or the data
+/// folder is unusable.
 pub fn run(args: &Args) -> Result<()> {
     let settings = Settings::read(&args.settings)?;
     logs::init(settings.log.as_deref(), LevelFilter::Info)?;
@@ -39,7 +39,8 @@
 }
 
 async fn serve(settings: Settings) -> Result<()> {
-    // A stop during the start is orderly too.
+    // Installed before the start, so that a signal during startup also leads to a
+    // graceful stop.
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let started = node::start(settings).await?;
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `plantaincross diff FOLDER`
+//! `plantaincross diff FOLDER`: compares a folder with the configuration in force.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -9,13 +9,13 @@
 use crate::config::{Config, merge, read_folder};
 use crate::error::{Error, Kind, Result};
 
-/// Compares a folder with the configuration in force.
+/// Compares a configuration folder with the configuration in force.
 ///
-/// Prints a line for each value that a push would change: `-` in force, `+` in
-/// the folder.
+/// Prints one line for each value that a push would change: `-` for the value in
+/// force, `+` for the value in the folder.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Folder with the `.ini` files
+    /// Folder that holds the `.ini` files
     folder: PathBuf,
     #[command(flatten)]
     cell: Cell,
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the folder has errors or the instance cannot be asked.
+/// Fails if the folder's configuration is invalid or the instance cannot be reached.
 pub fn run(args: &Args) -> Result<()> {
     let sources = read_folder(&args.folder)?;
     let new = merge(&sources).map_err(|faults| {
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Returns the lines that tell `old` from `new`.
+/// Returns the differing values of two configurations as lines, sorted by key.
 pub fn changes(old: &Config, new: &Config) -> Vec<String> {
     let (old, new) = (flatten(old), flatten(new));
     let mut lines = Vec::new();
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -1,9 +1,9 @@
-//! `plantaincross history`
+//! `plantaincross history`: lists the accepted configuration pushes.
 
 use super::{Cell, print, shown};
 use crate::error::Result;
 
-/// Lists the accepted pushes, oldest first: version, digest, operator.
+/// Lists the accepted configuration pushes, oldest first: version, digest, operator.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked.
+/// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     for push in &shown(&args.cell)?.history {
         print(format_args!(
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -1,4 +1,4 @@
-//! `plantaincross job submit|status|cancel|explain|list`
+//! `plantaincross job submit|status|cancel|explain|list`: commands for a team's jobs.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,23 +13,23 @@
 use crate::error::{Error, Kind, Result};
 use crate::http::{ShownJob, Submitted};
 
-/// Longest wait for an answer.
+/// Time limit for one request to an instance.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Hands in and follows jobs.
+/// Submits, inspects and cancels jobs.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(subcommand)]
     action: Action,
 }
 
-/// Which instance to talk to, and the team's key.
+/// Address of an instance and the team's key.
 #[derive(Clone, Debug, clap::Args)]
 struct Caller {
-    /// HTTP address of any instance
+    /// HTTP address of any entry instance
     #[arg(long, env = "PLANTAINCROSS_AT", default_value = "127.0.0.1:8080")]
     at: SocketAddr,
-    /// Key of the team
+    /// Secret of the team's key
     #[arg(long, env = "PLANTAINCROSS_KEY", hide_env_values = true)]
     key: String,
 }
@@ -42,33 +42,33 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Hands in a job and prints its number
+    /// Submits a job and prints its number
     Submit {
-        /// File with the job as JSON
+        /// File that holds the job as JSON
         file: PathBuf,
-        /// Id under which a repeated submission counts as the same job
+        /// Idempotency key; a repeated submission with the same id creates no second job
         #[arg(long)]
         id: Option<String>,
         #[command(flatten)]
         caller: Caller,
     },
-    /// Shows where a job stands
+    /// Shows the state and progress of a job
     Status {
-        /// Number of the job
+        /// Job number
         job: u64,
         #[command(flatten)]
         caller: Caller,
     },
     /// Cancels a job
     Cancel {
-        /// Number of the job
+        /// Job number
         job: u64,
         #[command(flatten)]
         caller: Caller,
     },
-    /// Says why a job's tasks wait
+    /// Explains why tasks of a job are waiting
     Explain {
-        /// Number of the job
+        /// Job number
         job: u64,
         #[command(flatten)]
         caller: Caller,
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked or refuses.
+/// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
         match &args.action {
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -1,4 +1,4 @@
-//! `plantaincross key give TEAM | withdraw ID | list`
+//! `plantaincross key give TEAM | withdraw ID | list`: manages the teams' API keys.
 
 use clap::Subcommand;
 
@@ -7,7 +7,7 @@
 use crate::http::{GiveBody, ShownKey, WithdrawnBody};
 use crate::util::sha256;
 
-/// Gives, withdraws and lists keys.
+/// Issues, withdraws and lists API keys.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(subcommand)]
@@ -16,27 +16,27 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Gives a new key and prints its secret, which is not kept anywhere
+    /// Issues a new key and prints its secret; only the secret's digest is stored
     Give {
-        /// Team that it stands for
+        /// Team that the key authenticates
         team: String,
-        /// Name of the key
+        /// Id of the key; generated from the team's name if omitted
         #[arg(long)]
         id: Option<String>,
-        /// Zone that goes on taking it while cut off
+        /// Zone that keeps accepting the key while it is partitioned from the others
         #[arg(long)]
         home_zone: Option<String>,
         #[command(flatten)]
         cell: Cell,
     },
-    /// Withdraws a key for good
+    /// Withdraws a key permanently
     Withdraw {
-        /// Name of the key
+        /// Id of the key
         id: String,
         #[command(flatten)]
         cell: Cell,
     },
-    /// Lists the keys
+    /// Lists the keys: id, team, home zone, state
     List {
         #[command(flatten)]
         cell: Cell,
@@ -47,8 +47,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked or refuses; a withdrawal that its home
-/// zone has not confirmed fails and names the zone.
+/// Fails if the instance cannot be reached or rejects the request, or if the key's
+/// home zone has not confirmed a withdrawal; the error names the zone.
 pub fn run(args: &Args) -> Result<()> {
     match &args.action {
         Action::Give {
@@ -85,7 +85,7 @@
         let path = format!("/v1/keys/{id}");
         let body: WithdrawnBody = cell.client()?.call("DELETE", &path, None::<&()>).await?;
         if let Some(zone) = body.waits_for {
-            let message = format!("not yet accepted: zone {zone} cannot be reached");
+            let message = format!("withdrawal not yet confirmed: zone {zone} is unreachable");
             return Err(Error::new(Kind::NoQuorum, message));
         }
         print("withdrawn")
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `plantaincross load`
+//! `plantaincross load`: open-loop load generator that checks the answers.
 
 use std::collections::{BTreeMap, HashSet};
 use std::io::Write;
@@ -18,49 +18,50 @@
 use crate::client::Client;
 use crate::error::{Error, Kind, Result};
 
-/// Highest time that the histogram tells apart, in microseconds.
+/// Highest latency that the histogram records, in microseconds.
 const HISTOGRAM_MAX: u64 = 120_000_000;
-/// Interval of the progress line.
+/// Interval between progress lines.
 const PROGRESS_EVERY: Duration = Duration::from_secs(2);
-/// Longest wait for one answer.
+/// Time limit for one request.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest worth of a request.
+/// Highest worth assigned to a request; worths are uniform from 1.
 const WORTH_MAX: u64 = 100;
-/// Longest wait for the last answers.
+/// Time limit for requests still in flight after the last one was sent; exceeds the
+/// limit of a single request.
 const SETTLE_MAX: Duration = Duration::from_secs(35);
 
-/// Sends a seeded open-loop load to a running cell and keeps its own ledger.
+/// Sends a seeded open-loop load to a running cell and checks every answer.
 ///
-/// Requests come at the given rate whatever the answers; ten connections a
-/// thousand requests a second are typical. Costs the cell what it says; bounded by
-/// rate and time.
+/// Requests are sent at the given rate regardless of the answers; about ten
+/// connections per thousand requests a second are typical. The load on the cell is
+/// bounded by `--rate` and `--seconds`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// HTTP addresses of entry instances
+    /// HTTP address of an entry instance; repeat for several
     #[arg(long, required = true)]
     at: Vec<SocketAddr>,
-    /// Team and key as TEAM=KEY, and with TEAM=KEY=WEIGHT its part of the load
+    /// Team and its key as TEAM=KEY, or TEAM=KEY=WEIGHT to set its share of the load
     #[arg(long, required = true)]
     team: Vec<String>,
-    /// Service that is asked
+    /// Service to send requests to
     #[arg(long, default_value = "orders")]
     service: String,
-    /// Requests a second
+    /// Mean requests per second
     #[arg(long, default_value_t = 100)]
     rate: u32,
-    /// Seconds
+    /// Duration of the load in seconds
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Seed of the load
+    /// Seed of the random arrivals and requests
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Percentage of requests that are orders, which must run at most once
     #[arg(long, default_value_t = 50)]
     orders: u32,
-    /// Percentage of orders that are sent again at another instance
+    /// Percentage of orders sent a second time, to a randomly chosen instance
     #[arg(long, default_value_t = 20)]
     repeats: u32,
-    /// Deadline in milliseconds
+    /// Deadline of each request in milliseconds
     #[arg(long, default_value_t = 2_000)]
     deadline_ms: u64,
     /// Print the report as JSON
@@ -75,18 +76,18 @@
     weight: u32,
 }
 
-/// What the load saw.
+/// Counters of sent requests and their outcomes.
 #[derive(Debug)]
 struct Ledger {
     sent: u64,
     answered: u64,
     refused: BTreeMap<String, u64>,
     failed: u64,
-    /// Answers that belonged to another request or were incomplete.
+    /// Answers that carried another request's id or were incomplete.
     crossed: u64,
-    /// Order ids that two upstream runs answered differently.
+    /// Ids of orders that got two different answers, so ran twice.
     doubled: HashSet<String>,
-    /// Orders refused as not run that an answer shows to have run.
+    /// Orders reported as not run although an earlier answer shows that they ran.
     untrue: u64,
     order_answers: BTreeMap<String, Bytes>,
     offered_worth: u64,
@@ -118,8 +119,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the arguments are wrong, or if an order ran twice or an answer was
-/// crossed.
+/// Fails if the arguments are invalid, if an order ran twice, if an answer belonged
+/// to another request or if an order that ran was reported as not run.
 pub fn run(args: &Args) -> Result<()> {
     let teams = parse_teams(&args.team)?;
     let ledger = tokio::runtime::Builder::new_multi_thread()
@@ -151,7 +152,7 @@
         .collect()
 }
 
-/// One request of the plan.
+/// One generated request.
 #[derive(Clone, Debug)]
 struct Shot {
     number: u64,
@@ -175,7 +176,7 @@
     let clients: Arc<Clients> = Arc::default();
     while next < end {
         sleep_until(next).await;
-        // Exponential gaps make the arrivals independent of each other.
+        // Exponential gaps give Poisson arrivals.
         let gap = -(1.0 - rng.random::<f64>()).ln() / f64::from(args.rate.max(1));
         next += Duration::from_secs_f64(gap);
         number += 1;
@@ -225,7 +226,7 @@
     }
 }
 
-/// Idle clients by address and key.
+/// Idle clients by instance address and key.
 type Clients = Mutex<BTreeMap<(SocketAddr, String), Vec<Client>>>;
 
 async fn fire(
@@ -310,7 +311,7 @@
     ledger.answered += 1;
     ledger.gained_worth += shot.worth;
     *ledger.teams.entry(shot.team.name.clone()).or_default() += 1;
-    // The stand-in echoes the path, which names the request.
+    // The stand-in upstream echoes the path, which contains the request's id.
     let text = String::from_utf8_lossy(answer.body());
     if !text.contains(&format!("/load/{id} ")) || !text.ends_with('\n') {
         ledger.crossed += 1;
@@ -335,10 +336,10 @@
     };
     let said_not_run =
         |answer: &Response<Bytes>| !answer.status().is_success() && refusal(answer).1 == "not_run";
-    // After a whole answer, nobody may say of the same id that it did not run.
+    // After a complete answer, no instance may report the same id as not run.
     if first.status().is_success() && said_not_run(second) {
         ledger.lock().expect("ledger lock").untrue += 1;
-        log::warn!("{id} was answered and then said not to have run");
+        log::warn!("{id}: reported as not run after it had been answered");
     }
 }
 
@@ -408,6 +409,7 @@
     if ledger.doubled.is_empty() && ledger.crossed == 0 && ledger.untrue == 0 {
         return Ok(());
     }
-    let message = "the ledger holds doubled, crossed or untrue answers";
+    let message =
+        "orders ran twice, answers were mixed up or orders were wrongly reported as not run";
     Err(Error::new(Kind::BadAnswer, message))
 }
--- a/src/cmd/local.rs
+++ b/src/cmd/local.rs
@@ -1,4 +1,4 @@
-//! `plantaincross local`
+//! `plantaincross local`: runs a complete cell in one process, for trials.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,27 +23,27 @@
 use crate::standin::{Plan, Upstream, worker};
 use crate::util::sha256;
 
-/// Longest wait for the cell to come up.
+/// Time limit for the cell to become ready.
 const READY_MAX: Duration = Duration::from_secs(20);
-/// Pause between two looks.
+/// Interval between attempts while the cell starts.
 const READY_PAUSE: Duration = Duration::from_millis(50);
-/// Configuration of a cell that is started without a folder.
+/// Configuration used when no folder is given.
 const EXAMPLE: &str = include_str!("../../examples/local/10-local.ini");
 
-/// Job in the printed example.
+/// Job submission in the printed example commands.
 const EXAMPLE_JOB: &str = r#"{"name":"nest","class":"batch","tasks":20,"run_ms":500,"size":{"cpu_milli":2000,"memory_mb":512}}"#;
 
-/// Starts a whole cell in this process, on loopback, with stand-ins for upstreams
-/// and workers.
+/// Starts a complete cell in this process, on loopback, with simulated upstreams and
+/// workers.
 ///
-/// Runs until Ctrl-C or for the given time, stops gracefully and prints a summary.
-/// Takes about 50 MB and 3 s to come up.
+/// Runs until Ctrl-C or for the given time, then stops gracefully and prints a
+/// summary. Uses about 50 MB of memory and is ready after about 3 s.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Seconds to run; until Ctrl-C without it
+    /// Seconds to run; without it, until Ctrl-C
     #[arg(long = "for", value_name = "SECONDS")]
     seconds: Option<u64>,
-    /// Configuration folder; an example without it
+    /// Configuration folder; without it, a built-in example
     #[arg(long)]
     config: Option<PathBuf>,
     /// Entry instances in each zone
@@ -55,10 +55,10 @@
     /// Workers in each zone
     #[arg(long, default_value_t = 4)]
     workers: usize,
-    /// Milliseconds that an upstream takes for one request
+    /// Milliseconds that an upstream takes to serve one request
     #[arg(long, default_value_t = 20)]
     service_ms: u64,
-    /// Folder for data; a temporary one without it
+    /// Data folder; without it, a temporary one that is removed at the end
     #[arg(long)]
     data: Option<PathBuf>,
 }
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the cell does not come up.
+/// Fails if the configuration is invalid or the cell does not become ready.
 pub fn run(args: &Args) -> Result<()> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -108,7 +108,7 @@
     summarise(&all, &totals, &record)
 }
 
-/// The data folder of a local cell, removed at the end if it was made for it.
+/// Data folder of a local cell; a temporary one is removed on drop.
 struct Data {
     path: PathBuf,
     temporary: bool,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The instances of a local cell.
+/// The running entry instances of a local cell.
 struct Cell {
     addresses: Vec<SocketAddr>,
     nodes: Vec<Node>,
@@ -224,7 +224,8 @@
         .collect()
 }
 
-/// Pushes the configuration and gives each team a key; yields the secrets.
+/// Pushes the configuration and issues a key to each team. Returns the secrets by
+/// team. Repeats the push until it succeeds, since it fails while the cell is starting.
 async fn prepare(
     operator: &mut Client,
     config: &Config,
@@ -308,7 +309,7 @@
     record
 }
 
-/// Waits until every entry instance has answered a request of every team's key.
+/// Waits until every entry instance has answered a request with each team's key.
 async fn wait_serving(cell: &Cell, config: &Config, keys: &BTreeMap<String, String>) -> Result<()> {
     let started = Instant::now();
     let Some(service) = config.services.keys().next() else {
@@ -324,7 +325,10 @@
                     break;
                 }
                 if started.elapsed() > READY_MAX {
-                    return Err(Error::new(Kind::Internal, "the cell did not come up"));
+                    return Err(Error::new(
+                        Kind::Internal,
+                        "the cell did not become ready in time",
+                    ));
                 }
                 sleep(READY_PAUSE).await;
             }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands of the command line, one module each.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 pub mod timeline;
 pub mod zone;
 
-/// Longest wait for an answer of an instance.
+/// Time limit for one request to an instance.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Operates a plantaincross cell.
@@ -56,19 +56,19 @@
     Zone(zone::Args),
 }
 
-/// Which instance to talk to, and how to prove the right to.
+/// Address of an instance and the operator's credentials.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Cell {
-    /// HTTP address of any instance
+    /// HTTP address of any entry instance
     #[arg(long, env = "PLANTAINCROSS_AT", default_value = "127.0.0.1:8080")]
     pub at: SocketAddr,
-    /// File with the cell's secret
+    /// File that holds the cell's secret
     #[arg(long, env = "PLANTAINCROSS_SECRET_FILE")]
     pub secret_file: PathBuf,
 }
 
 impl Cell {
-    /// Makes a client with the operators' token.
+    /// Creates a client that authenticates with the operators' token.
     ///
     /// # Errors
     ///
@@ -80,20 +80,20 @@
     }
 }
 
-/// Asks an instance for the configuration in force.
+/// Fetches the configuration in force from an instance.
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked.
+/// Fails if the secret cannot be read or the instance cannot be reached.
 pub fn shown(cell: &Cell) -> Result<Shown> {
     block_on(async { cell.client()?.call("GET", "/v1/config", None::<&()>).await })
 }
 
-/// Runs the chosen subcommand.
+/// Runs the selected subcommand.
 ///
 /// # Errors
 ///
-/// Fails with what the subcommand reports.
+/// Returns the subcommand's error.
 pub fn run(cli: Cli) -> Result<()> {
     match cli.command {
         Command::Check(args) => check::run(&args),
@@ -112,8 +112,8 @@
     }
 }
 
-/// Reports an error in one line and turns the result into an exit code. A reader
-/// that closed its end of a pipe is no error.
+/// Prints an error as one line to standard error and converts the result to an exit
+/// code. A closed output pipe counts as success.
 pub fn finish(result: Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -125,11 +125,11 @@
     }
 }
 
-/// Runs a future on a small runtime.
+/// Runs a future to completion on a single-threaded runtime.
 ///
 /// # Errors
 ///
-/// Fails if the runtime cannot be made, or with the future's own error.
+/// Fails if the runtime cannot be created; otherwise returns the future's error.
 pub fn block_on<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -141,7 +141,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the output is closed.
+/// Fails if standard output cannot be written to.
 pub fn print(line: impl std::fmt::Display) -> Result<()> {
     writeln!(std::io::stdout(), "{line}")?;
     Ok(())
--- a/src/cmd/push.rs
+++ b/src/cmd/push.rs
@@ -1,4 +1,4 @@
-//! `plantaincross push FOLDER --replaces N [--wait]`
+//! `plantaincross push FOLDER --replaces N [--wait]`: submits a configuration.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,23 +12,24 @@
 use crate::error::{Error, Kind, Result};
 use crate::http::{Faults, PushBody, Pushed};
 
-/// Longest wait for a version to be in force everywhere.
+/// Time limit for a version to come into force at every instance.
 const WAIT_MAX: Duration = Duration::from_secs(7);
-/// Pause between two looks.
+/// Interval between status requests with `--wait`.
 const WAIT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pushes a configuration folder in place of the version that it replaces.
+/// Pushes a configuration folder that replaces a given version.
 ///
-/// Racing pushes have one winner; repeating a push whose answer was lost gives the
-/// first answer again. Costs one entry in the log.
+/// Of concurrent pushes that replace the same version, one is accepted. A push can
+/// safely be repeated after its answer was lost: it returns the first answer again.
+/// Each accepted push adds one entry to the replicated log.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Folder with the `.ini` files
+    /// Folder that holds the `.ini` files
     folder: PathBuf,
-    /// Version that it replaces; 0 for the first
+    /// Version to replace; 0 for the first push
     #[arg(long)]
     replaces: u64,
-    /// Name to appear in the history
+    /// Operator's name for the history
     #[arg(long, env = "USER", default_value = "operator")]
     operator: String,
     /// Wait until the version is in force at every instance
@@ -42,8 +43,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the configuration is refused, or with `--wait` if an instance does not
-/// report it in time.
+/// Fails if the configuration is rejected, or with `--wait` if an instance does not
+/// report the version in time.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
         let mut client = args.cell.client()?;
@@ -57,11 +58,12 @@
     })
 }
 
-/// Pushes files and returns the version that is in force for them.
+/// Pushes configuration files and returns the resulting version.
 ///
 /// # Errors
 ///
-/// Fails with every error of the files, or with the winner of a race.
+/// Fails if the configuration is invalid, after printing each error, or if another
+/// push has already replaced the version.
 pub async fn push(
     client: &mut Client,
     replaces: u64,
@@ -79,7 +81,7 @@
         for fault in &faults.faults {
             print(fault)?;
         }
-        let message = format!("{} errors", faults.faults.len());
+        let message = format!("configuration has {} errors", faults.faults.len());
         return Err(Error::new(faults.kind, message));
     }
     let pushed: Pushed = read(&response)?;
@@ -103,7 +105,10 @@
             ));
         }
         if started.elapsed() > WAIT_MAX {
-            let message = format!("not yet in force at {}", behind.join(" "));
+            let message = format!(
+                "version {version} is not yet in force at {}",
+                behind.join(" ")
+            );
             return Err(Error::new(Kind::NoQuorum, message));
         }
         sleep(WAIT_PAUSE).await;
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -1,9 +1,9 @@
-//! `plantaincross show`
+//! `plantaincross show`: prints the configuration in force.
 
 use super::{Cell, print, shown};
 use crate::error::Result;
 
-/// Shows the configuration in force at one instance, as JSON.
+/// Prints the configuration in force at one instance as JSON.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked.
+/// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     let shown = shown(&args.cell)?;
     print(format_args!(
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,13 +1,14 @@
-//! `plantaincross status`
+//! `plantaincross status`: prints the state of the instances.
 
 use super::{Cell, block_on, print};
 use crate::core::control::Status;
 use crate::error::Result;
 
-/// Shows how every reachable instance stands.
+/// Shows the state of every reachable instance.
 ///
-/// One line each: name, zone, version in force, log position, age of its knowledge
-/// in ms, root leader, whether it leads its zone.
+/// One line each: name, zone, configuration version in force, index of the last
+/// applied log entry, age of its copy of the root group's state in ms, root leader,
+/// and whether the instance leads its zone.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
@@ -18,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked.
+/// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
         let all: Vec<Status> = args
--- a/src/cmd/team.rs
+++ b/src/cmd/team.rs
@@ -1,4 +1,4 @@
-//! `plantaincross team list`
+//! `plantaincross team list`: prints the teams with their load.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::error::Result;
 use crate::http::Shown;
 
-/// Shows the teams with their shares, limits and running work.
+/// Shows the teams with their shares, limits and current load.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(subcommand)]
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Lists the teams: name, share, limit, running, waiting, completed
+    /// Lists the teams: name, share, limit, and running, waiting and completed requests
     List {
         #[command(flatten)]
         cell: Cell,
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked.
+/// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     let Action::List { cell } = &args.action;
     block_on(async {
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,4 +1,5 @@
-//! `plantaincross timeline [--request ID] [--job ID] [--follow]`
+//! `plantaincross timeline [--also ADDRESS] [--only TEXT] [--number N] [--follow]`:
+//! prints the events of several instances in order of time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,25 +11,26 @@
 use crate::event::Record;
 use crate::http::Events;
 
-/// Pause between two looks with `--follow`.
+/// Interval between requests for new events with `--follow`.
 const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
 
-/// Merges the events of several instances into one time line.
+/// Merges the events of several instances into one timeline.
 ///
-/// Every instance keeps its latest 20,000 events. Costs one request to each
-/// instance, and one every half second with `--follow`.
+/// Every instance keeps its latest 20,000 events. Sends one request to each instance,
+/// and with `--follow` another every half second.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// HTTP addresses of further instances
+    /// HTTP address of a further instance; repeat for several
     #[arg(long)]
     also: Vec<SocketAddr>,
-    /// Only events whose line contains this text: a request, job, team or instance
+    /// Only events whose line contains this text, such as the id of a request, job, team
+    /// or instance; if repeated, all must match
     #[arg(long)]
     only: Vec<String>,
-    /// Only events with these numbers
+    /// Only events with this number; repeat for several
     #[arg(long)]
     number: Vec<u16>,
-    /// Go on with new events until interrupted
+    /// Keep printing new events until interrupted
     #[arg(long)]
     follow: bool,
     #[command(flatten)]
@@ -39,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// Fails if an instance cannot be asked.
+/// Fails if an instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
         let mut clients = vec![args.cell.client()?];
@@ -66,7 +68,8 @@
     })
 }
 
-/// Fetches the records after those seen from every instance, in order.
+/// Fetches the records after the last seen sequence number of every instance and
+/// merges them in order of time.
 async fn collect(clients: &mut [Client], seen: &mut [u64]) -> Result<Vec<Record>> {
     let mut merged = BTreeMap::new();
     for (client, seen) in clients.iter_mut().zip(seen) {
--- a/src/cmd/zone.rs
+++ b/src/cmd/zone.rs
@@ -1,11 +1,11 @@
-//! `plantaincross zone replace ZONE`
+//! `plantaincross zone replace ZONE`: recovers a zone that lost all its instances.
 
 use clap::Subcommand;
 
 use super::{Cell, block_on, print};
 use crate::error::Result;
 
-/// Acts on an availability zone.
+/// Administers an availability zone.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(subcommand)]
@@ -14,13 +14,13 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Names a new leader for a zone whose whole roster is silent
+    /// Appoints a new leader for a zone none of whose registered instances respond
     ///
-    /// Only when the former instances of the zone are surely dead: one that is
-    /// merely cut off goes on allotting the zone's upstreams, which could then be
+    /// Use only if the former instances of the zone are certainly stopped: one that is
+    /// merely partitioned keeps allotting the zone's upstreams, which could then be
     /// overcommitted.
     Replace {
-        /// Zone
+        /// Name of the zone
         zone: String,
         #[command(flatten)]
         cell: Cell,
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the root group cannot be reached or no instance of the zone can.
+/// Fails if the root group or every instance of the zone is unreachable.
 pub fn run(args: &Args) -> Result<()> {
     let Action::Replace { zone, cell } = &args.action;
     block_on(async {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the systems outside: upstreams and workers that speak the
-//! published protocols. For trials, tests and measurements.
+//! Simulated upstreams and workers that speak the published protocols, for trials,
+//! tests and measurements.
 
 mod upstream;
 pub mod worker;
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -1,4 +1,5 @@
-//! A stand-in upstream: a real HTTP server that counts what it is asked for.
+//! A simulated upstream: an HTTP server that counts its requests and can misbehave
+//! on demand.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -20,49 +21,49 @@
 use crate::client::Client;
 use crate::error::Result;
 
-/// Time between the first part of a short answer and its end.
+/// Delay between the body of a truncated answer and the abort of its connection.
 const CUT_AFTER: Duration = Duration::from_millis(50);
-/// Interval of heartbeats.
+/// Interval between heartbeats.
 const ANNOUNCE_EVERY: Duration = Duration::from_millis(400);
-/// Longest wait for an answer to a heartbeat.
+/// Time limit for the answer to a heartbeat.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How an upstream answers.
+/// How an upstream answers requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// With the request's method, path and body after the service time.
+    /// Returns the request's method, path and body after the service time.
     Echo,
-    /// It closes the connection without an answer.
+    /// Closes the connection without an answer.
     Close,
-    /// It never answers.
+    /// Never answers.
     Silent,
-    /// Its answer ends before its stated length.
+    /// Aborts the connection before the end of the answer's body.
     Short,
-    /// Its answer carries another request's id.
+    /// Returns another request's id in the answer.
     Crossed,
-    /// Its answer is this many bytes long.
+    /// Returns a body of this many bytes.
     Large(usize),
 }
 
-/// What an upstream has seen.
+/// Counters of an upstream's requests and connections.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Requests running now.
+    /// Requests currently running.
     pub running: u32,
-    /// Most requests that ran at once.
+    /// Highest number of requests that ran concurrently.
     pub most_running: u32,
-    /// Connections open now.
+    /// Connections currently open.
     pub connections: u32,
-    /// Most connections that were open at once.
+    /// Highest number of concurrently open connections.
     pub most_connections: u32,
-    /// Runs by request id.
+    /// Number of runs by request id.
     pub runs: HashMap<String, u32>,
-    /// Requests begun by team.
+    /// Number of started requests by team.
     pub teams: BTreeMap<String, u64>,
     by_sender: BTreeMap<String, u32>,
 }
 
-/// A running stand-in upstream.
+/// Handle to a running upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     state: Arc<Inner>,
@@ -87,35 +88,35 @@
     token: CancellationToken,
 }
 
-/// What an upstream is.
+/// Identity, capacity and reporting of an upstream.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Name.
+    /// Unique name of the upstream.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone it belongs to.
     pub zone: String,
-    /// Service.
+    /// Name of the service it provides.
     pub service: String,
-    /// Requests that it can run at once.
+    /// Number of requests that may run concurrently, as reported in heartbeats.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Number of connections that may be open at once, as reported in heartbeats.
     pub connections: u32,
-    /// Time for one request.
+    /// Time to serve one request.
     pub service_time: Duration,
-    /// Whether its heartbeats tell what it runs by sender.
+    /// Whether heartbeats report the number of running requests by sender.
     pub counts: bool,
-    /// Port that it listens on; any free one without it.
+    /// Port to listen on; any free port if `None`.
     pub port: Option<u16>,
-    /// Address that it announces; its own without it.
+    /// Address advertised in heartbeats; the listener's address if `None`.
     pub announced: Option<SocketAddr>,
 }
 
 impl Upstream {
-    /// Starts an upstream that announces itself to `entries` in turn.
+    /// Starts an upstream that sends its heartbeats to `entries` in rotation.
     ///
     /// # Errors
     ///
-    /// Fails if no port can be opened.
+    /// Fails if the port cannot be opened.
     pub async fn start(
         plan: Plan,
         entries: Vec<SocketAddr>,
@@ -149,42 +150,42 @@
         Ok(upstream)
     }
 
-    /// Returns the address that it announces.
+    /// Returns the address that heartbeats advertise.
     pub fn address(&self) -> SocketAddr {
         self.state.address
     }
 
-    /// Returns its name.
+    /// Returns the name under which it registers.
     pub fn name(&self) -> &str {
         &self.state.name
     }
 
-    /// Changes how it answers.
+    /// Sets how requests received from now on are answered.
     pub fn behave(&self, behaviour: Behaviour) {
         *self.state.behaviour.lock().expect("behaviour lock") = behaviour;
     }
 
-    /// Changes its service time.
+    /// Sets the time to serve a request.
     pub fn set_service_time(&self, time: Duration) {
         *self.state.service_time.lock().expect("time lock") = time;
     }
 
-    /// Says in every heartbeat from now on whether it leaves.
+    /// Sets whether further heartbeats report that the upstream is leaving.
     pub fn leave(&self, leaving: bool) {
         *self.state.leaving.lock().expect("leaving lock") = leaving;
     }
 
-    /// Stops or resumes its heartbeats.
+    /// Stops or resumes the heartbeats.
     pub fn mute(&self, muted: bool) {
         *self.state.muted.lock().expect("muted lock") = muted;
     }
 
-    /// Reads its ledger.
+    /// Calls `read` with the current counters.
     pub fn ledger<T>(&self, read: impl FnOnce(&Ledger) -> T) -> T {
         read(&self.state.ledger.lock().expect("ledger lock"))
     }
 
-    /// Ends it at once.
+    /// Stops the upstream immediately and closes its connections.
     pub fn kill(&self) {
         self.state.token.cancel();
     }
@@ -276,7 +277,7 @@
     }
 }
 
-/// Counts one running request until it is dropped, also when its caller goes away.
+/// Counts one running request until it is dropped, even if its caller disconnects.
 struct Run {
     state: Arc<Inner>,
     sender: String,
@@ -343,13 +344,13 @@
         Behaviour::Short => {
             let cut = futures_util::stream::once(async {
                 sleep(CUT_AFTER).await;
-                Err(std::io::Error::other("cut"))
+                Err(std::io::Error::other("answer truncated"))
             });
             let part = futures_util::stream::iter([Ok(text)]).chain(cut);
             Response::new(Body::from_stream(part))
         }
         Behaviour::Crossed => Response::new(Body::from(text)),
-        // A panic in a handler closes its connection.
+        // A panic in the handler makes the server close the connection.
         Behaviour::Close => std::panic::resume_unwind(Box::new("closed")),
     };
     let headers = response.headers_mut();
@@ -366,7 +367,8 @@
     response
 }
 
-// The work goes on if the connection closes, as it does on a real upstream.
+// Runs as its own task, so that the work continues if the caller closes the connection,
+// as on a real upstream.
 async fn work(state: Arc<Inner>, run: Run) {
     let time = *state.service_time.lock().expect("time lock");
     sleep(time).await;
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker: polls for orders and runs tasks that only take time.
+//! A simulated worker: polls for orders and runs tasks that only let time pass.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,38 +13,39 @@
 use crate::core::job::{Size, Task};
 use crate::error::Result;
 
-/// Longest wait for orders.
+/// Longest time that an instance may hold a poll before it answers.
 const POLL_WAIT: Duration = Duration::from_millis(4_000);
-/// Longest wait for an answer to a poll.
+/// Time limit for the answer to a poll; exceeds the time that a poll may be held.
 const POLL_TIMEOUT: Duration = Duration::from_secs(7);
-/// Pause after a failed poll.
+/// Delay before the next poll after a failed one.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What a worker is.
+/// Identity, capacity and behaviour of a worker.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Name.
+    /// Unique name of the worker.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone it belongs to.
     pub zone: String,
-    /// Rack.
+    /// Rack it belongs to.
     pub rack: String,
-    /// What it has.
+    /// Resources that it offers.
     pub size: Size,
-    /// Whether it fails everything that it starts.
+    /// Whether every task fails as soon as it starts.
     pub fails: bool,
 }
 
-/// What all workers of a trial have run, to find tasks that run in two places.
+/// Counters shared by all workers of a trial, to detect tasks that run on several
+/// workers at once.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Tasks running now and on how many workers.
+    /// Tasks currently running, with the number of workers that run each.
     pub running: BTreeMap<Task, u32>,
-    /// Most workers that ran one task at once.
+    /// Highest number of workers that ran the same task at once.
     pub most: u32,
-    /// Tasks started.
+    /// Number of task starts.
     pub started: u64,
-    /// Tasks that ended well.
+    /// Number of tasks that ended successfully.
     pub ended: u64,
 }
 
