--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use super::{Cell, print, shown};
+use super::{Connection, fetch_config, print};
 use crate::config::{Config, merge, read_folder};
 use crate::error::{Error, Kind, Result};
 
@@ -18,7 +18,7 @@
     /// Folder that holds the `.ini` files
     folder: PathBuf,
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
@@ -32,7 +32,7 @@
         let message = faults.first().map(ToString::to_string).unwrap_or_default();
         Error::new(Kind::InvalidConfig, message)
     })?;
-    for line in changes(&shown(&args.cell)?.config, &new) {
+    for line in changes(&fetch_config(&args.connection)?.config, &new) {
         print(line)?;
     }
     Ok(())
@@ -61,15 +61,15 @@
 fn flatten(config: &Config) -> BTreeMap<String, Value> {
     let mut flat = BTreeMap::new();
     let value = serde_json::to_value(config).expect("configuration encodes");
-    put(&mut flat, "", value);
+    insert(&mut flat, "", value);
     flat
 }
 
-fn put(flat: &mut BTreeMap<String, Value>, path: &str, value: Value) {
+fn insert(flat: &mut BTreeMap<String, Value>, path: &str, value: Value) {
     match value {
         Value::Object(map) => {
             for (key, value) in map {
-                put(flat, &format!("{path}/{key}"), value);
+                insert(flat, &format!("{path}/{key}"), value);
             }
         }
         value => {
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -1,13 +1,13 @@
 //! `plantaincross history`: lists the accepted configuration pushes.
 
-use super::{Cell, print, shown};
+use super::{Connection, fetch_config, print};
 use crate::error::Result;
 
 /// Lists the accepted configuration pushes, oldest first: version, digest, operator.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
@@ -16,7 +16,7 @@
 ///
 /// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
-    for push in &shown(&args.cell)?.history {
+    for push in &fetch_config(&args.connection)?.history {
         print(format_args!(
             "{}\t{}\t{}",
             push.version,
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -14,7 +14,7 @@
 use crate::http::{ShownJob, Submitted};
 
 /// Time limit for one request to an instance.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Submits, inspects and cancels jobs.
 #[derive(Debug, clap::Args)]
@@ -36,7 +36,7 @@
 
 impl Caller {
     fn client(&self) -> Client {
-        Client::new(self.at, Some(self.key.clone()), TIMEOUT)
+        Client::new(self.at, Some(self.key.clone()), REQUEST_TIMEOUT)
     }
 }
 
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -2,7 +2,7 @@
 
 use clap::Subcommand;
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::error::{Error, Kind, Result};
 use crate::http::{GiveBody, ShownKey, WithdrawnBody};
 use crate::util::sha256;
@@ -27,19 +27,19 @@
         #[arg(long)]
         home_zone: Option<String>,
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
     /// Withdraws a key permanently
     Withdraw {
         /// Id of the key
         id: String,
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
     /// Lists the keys: id, team, home zone, state
     List {
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
 }
 
@@ -55,14 +55,19 @@
             team,
             id,
             home_zone,
-            cell,
-        } => give(cell, team, id.as_deref(), home_zone.as_deref()),
-        Action::Withdraw { id, cell } => withdraw(cell, id),
-        Action::List { cell } => list(cell),
+            connection,
+        } => give(connection, team, id.as_deref(), home_zone.as_deref()),
+        Action::Withdraw { id, connection } => withdraw(connection, id),
+        Action::List { connection } => list(connection),
     }
 }
 
-fn give(cell: &Cell, team: &str, id: Option<&str>, home_zone: Option<&str>) -> Result<()> {
+fn give(
+    connection: &Connection,
+    team: &str,
+    id: Option<&str>,
+    home_zone: Option<&str>,
+) -> Result<()> {
     let secret = hex::encode(rand::random::<[u8; 24]>());
     let id = id.map_or_else(
         || format!("{team}-{}", hex::encode(rand::random::<[u8; 4]>())),
@@ -75,15 +80,21 @@
         home_zone: home_zone.map(str::to_owned),
     };
     block_on(async {
-        let () = cell.client()?.call("POST", "/v1/keys", Some(&body)).await?;
+        let () = connection
+            .client()?
+            .call("POST", "/v1/keys", Some(&body))
+            .await?;
         print(format_args!("{id}\t{secret}"))
     })
 }
 
-fn withdraw(cell: &Cell, id: &str) -> Result<()> {
+fn withdraw(connection: &Connection, id: &str) -> Result<()> {
     block_on(async {
         let path = format!("/v1/keys/{id}");
-        let body: WithdrawnBody = cell.client()?.call("DELETE", &path, None::<&()>).await?;
+        let body: WithdrawnBody = connection
+            .client()?
+            .call("DELETE", &path, None::<&()>)
+            .await?;
         if let Some(zone) = body.waits_for {
             let message = format!("withdrawal not yet confirmed: zone {zone} is unreachable");
             return Err(Error::new(Kind::NoQuorum, message));
@@ -92,9 +103,12 @@
     })
 }
 
-fn list(cell: &Cell) -> Result<()> {
+fn list(connection: &Connection) -> Result<()> {
     block_on(async {
-        let keys: Vec<ShownKey> = cell.client()?.call("GET", "/v1/keys", None::<&()>).await?;
+        let keys: Vec<ShownKey> = connection
+            .client()?
+            .call("GET", "/v1/keys", None::<&()>)
+            .await?;
         for key in keys {
             let state = if key.withdrawn { "withdrawn" } else { "valid" };
             let home = key.home_zone.as_deref().unwrap_or("-");
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -19,16 +19,16 @@
 use crate::error::{Error, Kind, Result};
 
 /// Highest latency that the histogram records, in microseconds.
-const HISTOGRAM_MAX: u64 = 120_000_000;
+const HISTOGRAM_MAX_US: u64 = 120_000_000;
 /// Interval between progress lines.
-const PROGRESS_EVERY: Duration = Duration::from_secs(2);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 /// Time limit for one request.
-const TIMEOUT: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Highest worth assigned to a request; worths are uniform from 1.
 const WORTH_MAX: u64 = 100;
 /// Time limit for requests still in flight after the last one was sent; exceeds the
 /// limit of a single request.
-const SETTLE_MAX: Duration = Duration::from_secs(35);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(35);
 
 /// Sends a seeded open-loop load to a running cell and checks every answer.
 ///
@@ -78,39 +78,40 @@
 
 /// Counters of sent requests and their outcomes.
 #[derive(Debug)]
-struct Ledger {
+struct Stats {
     sent: u64,
     answered: u64,
     refused: BTreeMap<String, u64>,
     failed: u64,
-    /// Answers that carried another request's id or were incomplete.
-    crossed: u64,
-    /// Ids of orders that got two different answers, so ran twice.
-    doubled: HashSet<String>,
+    /// Answers that carried another request's id or were incomplete. Reported as `crossed`.
+    mismatched: u64,
+    /// Ids of orders that got two different answers, so ran twice. Reported as `doubled`.
+    run_twice: HashSet<String>,
     /// Orders reported as not run although an earlier answer shows that they ran.
-    untrue: u64,
+    /// Reported as `untrue_not_run`.
+    false_not_run: u64,
     order_answers: BTreeMap<String, Bytes>,
     offered_worth: u64,
     gained_worth: u64,
     teams: BTreeMap<String, u64>,
-    times: Histogram<u64>,
+    latencies: Histogram<u64>,
 }
 
-impl Ledger {
+impl Stats {
     fn new() -> Self {
         Self {
             sent: 0,
             answered: 0,
             refused: BTreeMap::new(),
             failed: 0,
-            crossed: 0,
-            doubled: HashSet::new(),
-            untrue: 0,
+            mismatched: 0,
+            run_twice: HashSet::new(),
+            false_not_run: 0,
             order_answers: BTreeMap::new(),
             offered_worth: 0,
             gained_worth: 0,
             teams: BTreeMap::new(),
-            times: Histogram::new_with_max(HISTOGRAM_MAX, 3).expect("valid bounds"),
+            latencies: Histogram::new_with_max(HISTOGRAM_MAX_US, 3).expect("valid bounds"),
         }
     }
 }
@@ -123,11 +124,11 @@
 /// to another request or if an order that ran was reported as not run.
 pub fn run(args: &Args) -> Result<()> {
     let teams = parse_teams(&args.team)?;
-    let ledger = tokio::runtime::Builder::new_multi_thread()
+    let stats = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?
-        .block_on(drive(args, &teams));
-    report(args, &ledger)
+        .block_on(generate(args, &teams));
+    report(args, &stats)
 }
 
 fn parse_teams(texts: &[String]) -> Result<Vec<Team>> {
@@ -154,22 +155,22 @@
 
 /// One generated request.
 #[derive(Clone, Debug)]
-struct Shot {
+struct Request {
     number: u64,
     team: Team,
     at: SocketAddr,
-    again: Option<SocketAddr>,
+    repeat_at: Option<SocketAddr>,
     order: bool,
     worth: u64,
 }
 
-async fn drive(args: &Args, teams: &[Team]) -> Ledger {
-    let ledger = Arc::new(Mutex::new(Ledger::new()));
+async fn generate(args: &Args, teams: &[Team]) -> Stats {
+    let stats = Arc::new(Mutex::new(Stats::new()));
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
-    let run: u32 = rand::random();
+    let run_id: u32 = rand::random();
     let started = Instant::now();
     let mut next = started;
-    let mut told = started;
+    let mut last_progress = started;
     let mut number = 0;
     let end = started + Duration::from_secs(args.seconds);
     let mut tasks = Vec::new();
@@ -180,28 +181,28 @@
         let gap = -(1.0 - rng.random::<f64>()).ln() / f64::from(args.rate.max(1));
         next += Duration::from_secs_f64(gap);
         number += 1;
-        let shot = plan(args, teams, &mut rng, number);
-        let (own, clients) = (Arc::clone(&ledger), Arc::clone(&clients));
+        let request = random_request(args, teams, &mut rng, number);
+        let (shared, clients) = (Arc::clone(&stats), Arc::clone(&clients));
         let (service, deadline) = (args.service.clone(), args.deadline_ms);
         tasks.push(tokio::spawn(async move {
-            fire(shot, run, &service, deadline, &own, &clients).await;
+            execute(request, run_id, &service, deadline, &shared, &clients).await;
         }));
-        if told.elapsed() >= PROGRESS_EVERY && !args.json {
-            told = Instant::now();
-            progress(&ledger);
+        if last_progress.elapsed() >= PROGRESS_INTERVAL && !args.json {
+            last_progress = Instant::now();
+            print_progress(&stats);
         }
     }
-    let settle = async {
+    let drain = async {
         for task in tasks {
             let _ = task.await;
         }
     };
-    let _ = tokio::time::timeout(SETTLE_MAX, settle).await;
-    let mut ledger = ledger.lock().expect("ledger lock");
-    std::mem::replace(&mut ledger, Ledger::new())
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, drain).await;
+    let mut stats = stats.lock().expect("stats lock");
+    std::mem::replace(&mut stats, Stats::new())
 }
 
-fn plan(args: &Args, teams: &[Team], rng: &mut ChaCha8Rng, number: u64) -> Shot {
+fn random_request(args: &Args, teams: &[Team], rng: &mut ChaCha8Rng, number: u64) -> Request {
     let total: u32 = teams.iter().map(|t| t.weight).sum();
     let mut pick = rng.random_range(0..total);
     let team = teams
@@ -216,11 +217,11 @@
     let repeats = order && rng.random_range(0..100) < args.repeats;
     let at = args.at[rng.random_range(0..args.at.len())];
     let other = args.at[rng.random_range(0..args.at.len())];
-    Shot {
+    Request {
         number,
         team: team.clone(),
         at,
-        again: repeats.then_some(other),
+        repeat_at: repeats.then_some(other),
         order,
         worth: rng.random_range(1..=WORTH_MAX),
     }
@@ -229,116 +230,119 @@
 /// Idle clients by instance address and key.
 type Clients = Mutex<BTreeMap<(SocketAddr, String), Vec<Client>>>;
 
-async fn fire(
-    shot: Shot,
-    run: u32,
+async fn execute(
+    request: Request,
+    run_id: u32,
     service: &str,
     deadline: u64,
-    ledger: &Mutex<Ledger>,
+    stats: &Mutex<Stats>,
     clients: &Clients,
 ) {
-    let id = format!("load-{run:08x}-{}", shot.number);
-    let first = send(&shot, shot.at, &id, service, deadline, ledger, clients).await;
-    if let Some(again) = shot.again {
+    let id = format!("load-{run_id:08x}-{}", request.number);
+    let first = send(&request, request.at, &id, service, deadline, stats, clients).await;
+    if let Some(again) = request.repeat_at {
         sleep(Duration::from_millis(5)).await;
-        let second = send(&shot, again, &id, service, deadline, ledger, clients).await;
-        compare(&id, first.as_ref(), second.as_ref(), ledger);
+        let second = send(&request, again, &id, service, deadline, stats, clients).await;
+        check_repeat(&id, first.as_ref(), second.as_ref(), stats);
     }
 }
 
 async fn send(
-    shot: &Shot,
+    request: &Request,
     at: SocketAddr,
     id: &str,
     service: &str,
     deadline: u64,
-    ledger: &Mutex<Ledger>,
+    stats: &Mutex<Stats>,
     clients: &Clients,
 ) -> Option<Response<Bytes>> {
-    let slot = (at, shot.team.key.clone());
+    let pool_key = (at, request.team.key.clone());
     let idle = clients
         .lock()
         .expect("clients lock")
-        .get_mut(&slot)
+        .get_mut(&pool_key)
         .and_then(Vec::pop);
-    let mut client = idle.unwrap_or_else(|| Client::new(at, Some(shot.team.key.clone()), TIMEOUT));
-    let (deadline, worth) = (deadline.to_string(), shot.worth.to_string());
+    let mut client =
+        idle.unwrap_or_else(|| Client::new(at, Some(request.team.key.clone()), REQUEST_TIMEOUT));
+    let (deadline, worth) = (deadline.to_string(), request.worth.to_string());
     let mut headers = vec![
         ("x-deadline-ms", deadline.as_str()),
         ("x-worth", worth.as_str()),
     ];
-    let method = if shot.order { "POST" } else { "GET" };
-    if shot.order {
+    let method = if request.order { "POST" } else { "GET" };
+    if request.order {
         headers.push(("idempotency-key", id));
     }
     let path = format!("/v1/services/{service}/load/{id}");
     let started = Instant::now();
     let answer = client.send(method, &path, &headers, id.to_owned()).await;
-    let took = started.elapsed();
+    let latency = started.elapsed();
     if answer.is_ok() {
         clients
             .lock()
             .expect("clients lock")
-            .entry(slot)
+            .entry(pool_key)
             .or_default()
             .push(client);
     }
-    note(shot, id, took, answer.as_ref().ok(), ledger);
+    record(request, id, latency, answer.as_ref().ok(), stats);
     answer.ok()
 }
 
-fn note(
-    shot: &Shot,
+fn record(
+    request: &Request,
     id: &str,
-    took: Duration,
+    latency: Duration,
     answer: Option<&Response<Bytes>>,
-    ledger: &Mutex<Ledger>,
+    stats: &Mutex<Stats>,
 ) {
-    let mut ledger = ledger.lock().expect("ledger lock");
-    ledger.sent += 1;
-    ledger.offered_worth += shot.worth;
+    let mut stats = stats.lock().expect("stats lock");
+    stats.sent += 1;
+    stats.offered_worth += request.worth;
     let Some(answer) = answer else {
-        ledger.failed += 1;
+        stats.failed += 1;
         return;
     };
     if !answer.status().is_success() {
         let (kind, _) = refusal(answer);
-        *ledger.refused.entry(kind).or_default() += 1;
+        *stats.refused.entry(kind).or_default() += 1;
         return;
     }
-    let micros = u64::try_from(took.as_micros()).unwrap_or(HISTOGRAM_MAX);
-    ledger.times.saturating_record(micros.min(HISTOGRAM_MAX));
-    ledger.answered += 1;
-    ledger.gained_worth += shot.worth;
-    *ledger.teams.entry(shot.team.name.clone()).or_default() += 1;
+    let micros = u64::try_from(latency.as_micros()).unwrap_or(HISTOGRAM_MAX_US);
+    stats
+        .latencies
+        .saturating_record(micros.min(HISTOGRAM_MAX_US));
+    stats.answered += 1;
+    stats.gained_worth += request.worth;
+    *stats.teams.entry(request.team.name.clone()).or_default() += 1;
     // The stand-in upstream echoes the path, which contains the request's id.
     let text = String::from_utf8_lossy(answer.body());
     if !text.contains(&format!("/load/{id} ")) || !text.ends_with('\n') {
-        ledger.crossed += 1;
+        stats.mismatched += 1;
     }
-    if shot.order {
+    if request.order {
         let body = answer.body().clone();
-        let known = ledger.order_answers.entry(id.to_owned()).or_insert(body);
+        let known = stats.order_answers.entry(id.to_owned()).or_insert(body);
         if *known != *answer.body() {
-            ledger.doubled.insert(id.to_owned());
+            stats.run_twice.insert(id.to_owned());
         }
     }
 }
 
-fn compare(
+fn check_repeat(
     id: &str,
     first: Option<&Response<Bytes>>,
     second: Option<&Response<Bytes>>,
-    ledger: &Mutex<Ledger>,
+    stats: &Mutex<Stats>,
 ) {
     let (Some(first), Some(second)) = (first, second) else {
         return;
     };
-    let said_not_run =
+    let reported_not_run =
         |answer: &Response<Bytes>| !answer.status().is_success() && refusal(answer).1 == "not_run";
     // After a complete answer, no instance may report the same id as not run.
-    if first.status().is_success() && said_not_run(second) {
-        ledger.lock().expect("ledger lock").untrue += 1;
+    if first.status().is_success() && reported_not_run(second) {
+        stats.lock().expect("stats lock").false_not_run += 1;
         log::warn!("{id}: reported as not run after it had been answered");
     }
 }
@@ -349,43 +353,43 @@
     (text("kind"), text("run"))
 }
 
-fn progress(ledger: &Mutex<Ledger>) {
-    let ledger = ledger.lock().expect("ledger lock");
-    let refused: u64 = ledger.refused.values().sum();
+fn print_progress(stats: &Mutex<Stats>) {
+    let stats = stats.lock().expect("stats lock");
+    let refused: u64 = stats.refused.values().sum();
     let _ = writeln!(
         std::io::stderr(),
         "{} sent, {} answered, {refused} refused, p99 {:.1} ms",
-        ledger.sent,
-        ledger.answered,
-        ledger.times.value_at_quantile(0.99) as f64 / 1_000.0
+        stats.sent,
+        stats.answered,
+        stats.latencies.value_at_quantile(0.99) as f64 / 1_000.0
     );
 }
 
-fn report(args: &Args, ledger: &Ledger) -> Result<()> {
-    let quantile = |q: f64| ledger.times.value_at_quantile(q) as f64 / 1_000.0;
+fn report(args: &Args, stats: &Stats) -> Result<()> {
+    let quantile = |q: f64| stats.latencies.value_at_quantile(q) as f64 / 1_000.0;
     if args.json {
         print(serde_json::json!({
-            "sent": ledger.sent,
-            "answered": ledger.answered,
-            "refused": ledger.refused,
-            "failed": ledger.failed,
-            "crossed": ledger.crossed,
-            "doubled": ledger.doubled.len(),
-            "untrue_not_run": ledger.untrue,
-            "offered_worth": ledger.offered_worth,
-            "gained_worth": ledger.gained_worth,
-            "teams": ledger.teams,
+            "sent": stats.sent,
+            "answered": stats.answered,
+            "refused": stats.refused,
+            "failed": stats.failed,
+            "crossed": stats.mismatched,
+            "doubled": stats.run_twice.len(),
+            "untrue_not_run": stats.false_not_run,
+            "offered_worth": stats.offered_worth,
+            "gained_worth": stats.gained_worth,
+            "teams": stats.teams,
             "p50_ms": quantile(0.5),
             "p99_ms": quantile(0.99),
             "max_ms": quantile(1.0),
         }))?;
     } else {
-        print(format_args!("sent        {}", ledger.sent))?;
-        print(format_args!("answered    {}", ledger.answered))?;
-        for (kind, count) in &ledger.refused {
+        print(format_args!("sent        {}", stats.sent))?;
+        print(format_args!("answered    {}", stats.answered))?;
+        for (kind, count) in &stats.refused {
             print(format_args!("refused     {count} {kind}"))?;
         }
-        print(format_args!("failed      {}", ledger.failed))?;
+        print(format_args!("failed      {}", stats.failed))?;
         print(format_args!(
             "p50 p99 max {:.1} {:.1} {:.1} ms",
             quantile(0.5),
@@ -394,19 +398,19 @@
         ))?;
         print(format_args!(
             "worth       {} of {} offered",
-            ledger.gained_worth, ledger.offered_worth
+            stats.gained_worth, stats.offered_worth
         ))?;
-        for (team, count) in &ledger.teams {
+        for (team, count) in &stats.teams {
             print(format_args!("answered    {count} of {team}"))?;
         }
         print(format_args!(
             "doubled {} crossed {} untrue not_run {}",
-            ledger.doubled.len(),
-            ledger.crossed,
-            ledger.untrue
+            stats.run_twice.len(),
+            stats.mismatched,
+            stats.false_not_run
         ))?;
     }
-    if ledger.doubled.is_empty() && ledger.crossed == 0 && ledger.untrue == 0 {
+    if stats.run_twice.is_empty() && stats.mismatched == 0 && stats.false_not_run == 0 {
         return Ok(());
     }
     let message =
--- a/src/cmd/local.rs
+++ b/src/cmd/local.rs
@@ -24,11 +24,11 @@
 use crate::util::sha256;
 
 /// Time limit for the cell to become ready.
-const READY_MAX: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between attempts while the cell starts.
-const READY_PAUSE: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Configuration used when no folder is given.
-const EXAMPLE: &str = include_str!("../../examples/local/10-local.ini");
+const EXAMPLE_CONFIG: &str = include_str!("../../examples/local/10-local.ini");
 
 /// Job submission in the printed example commands.
 const EXAMPLE_JOB: &str = r#"{"name":"nest","class":"batch","tasks":20,"run_ms":500,"size":{"cpu_milli":2000,"memory_mb":512}}"#;
@@ -72,49 +72,49 @@
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?
-        .block_on(local(args))
+        .block_on(run_cell(args))
 }
 
-async fn local(args: &Args) -> Result<()> {
+async fn run_cell(args: &Args) -> Result<()> {
     let sources = match &args.config {
         Some(folder) => read_folder(folder)?,
         None => vec![Source {
             name: "10-local.ini".to_owned(),
-            text: EXAMPLE.to_owned(),
+            text: EXAMPLE_CONFIG.to_owned(),
         }],
     };
     let config = merge(&sources).map_err(|faults| {
         let message = faults.first().map(ToString::to_string).unwrap_or_default();
         Error::new(Kind::InvalidConfig, message)
     })?;
-    let data = Data::new(args.data.as_deref())?;
+    let data = DataFolder::new(args.data.as_deref())?;
     let secret = hex::encode(rand::random::<[u8; 16]>());
     std::fs::write(data.path.join("secret"), &secret)?;
     let cell = Cell::start(&config, args, &data.path, secret.as_bytes()).await?;
-    let stand_ins = CancellationToken::new();
+    let stand_in_token = CancellationToken::new();
     let mut operator = cell.operator(secret.as_bytes());
-    let keys = prepare(&mut operator, &config, sources).await?;
-    start_upstreams(&config, args, &cell.addresses, &stand_ins).await?;
-    let record = start_workers(&config, args, &cell.addresses, &stand_ins);
-    wait_serving(&cell, &config, &keys).await?;
-    introduce(&cell, &config, &keys, &data.path)?;
+    let keys = configure(&mut operator, &config, sources).await?;
+    start_upstreams(&config, args, &cell.addresses, &stand_in_token).await?;
+    let worker_stats = start_workers(&config, args, &cell.addresses, &stand_in_token);
+    wait_until_ready(&cell, &config, &keys).await?;
+    print_access(&cell, &config, &keys, &data.path)?;
     let seconds = args.seconds.map(Duration::from_secs);
-    wait_end(seconds).await?;
-    let all: Vec<Status> = operator.call("GET", "/v1/status", None::<&()>).await?;
+    wait_for_shutdown(seconds).await?;
+    let statuses: Vec<Status> = operator.call("GET", "/v1/status", None::<&()>).await?;
     let totals = cell.totals();
     cell.stop().await;
-    stand_ins.cancel();
-    let record = record.lock().expect("record lock");
-    summarise(&all, &totals, &record)
+    stand_in_token.cancel();
+    let worker_stats = worker_stats.lock().expect("stats lock");
+    print_summary(&statuses, &totals, &worker_stats)
 }
 
 /// Data folder of a local cell; a temporary one is removed on drop.
-struct Data {
+struct DataFolder {
     path: PathBuf,
     temporary: bool,
 }
 
-impl Data {
+impl DataFolder {
     fn new(given: Option<&Path>) -> Result<Self> {
         let (path, temporary) = match given {
             Some(path) => (path.to_owned(), false),
@@ -128,7 +128,7 @@
     }
 }
 
-impl Drop for Data {
+impl Drop for DataFolder {
     fn drop(&mut self) {
         if self.temporary {
             let _ = std::fs::remove_dir_all(&self.path);
@@ -148,10 +148,10 @@
     async fn start(config: &Config, args: &Args, data: &Path, secret: &[u8]) -> Result<Self> {
         let mut sockets = Vec::new();
         for zone in zones(config) {
-            for at in 0..args.entries.max(1) {
+            for index in 0..args.entries.max(1) {
                 let http = TcpListener::bind(("127.0.0.1", 0)).await?;
                 let peer = TcpListener::bind(("127.0.0.1", 0)).await?;
-                sockets.push((format!("{zone}-{at}"), zone.clone(), http, peer));
+                sockets.push((format!("{zone}-{index}"), zone.clone(), http, peer));
             }
         }
         let seeds: Vec<String> = sockets
@@ -159,7 +159,7 @@
             .map(|(_, _, _, peer)| Ok(peer.local_addr()?.to_string()))
             .collect::<Result<_>>()?;
         // An odd number of founders, spread over the zones.
-        let founders: Vec<String> = spread(&sockets, if sockets.len() < 3 { 1 } else { 3 });
+        let founders: Vec<String> = pick_founders(&sockets, if sockets.len() < 3 { 1 } else { 3 });
         let stop = CancellationToken::new();
         let mut cell = Self {
             addresses: Vec::new(),
@@ -218,15 +218,18 @@
     config.cell.zones.clone()
 }
 
-fn spread(sockets: &[(String, String, TcpListener, TcpListener)], count: usize) -> Vec<String> {
+fn pick_founders(
+    sockets: &[(String, String, TcpListener, TcpListener)],
+    count: usize,
+) -> Vec<String> {
     (0..count)
-        .map(|at| sockets[at * sockets.len() / count].0.clone())
+        .map(|index| sockets[index * sockets.len() / count].0.clone())
         .collect()
 }
 
 /// Pushes the configuration and issues a key to each team. Returns the secrets by
 /// team. Repeats the push until it succeeds, since it fails while the cell is starting.
-async fn prepare(
+async fn configure(
     operator: &mut Client,
     config: &Config,
     sources: Vec<Source>,
@@ -235,8 +238,8 @@
     loop {
         match push::push(operator, 0, "local", sources.clone()).await {
             Ok(_) => break,
-            Err(err) if started.elapsed() > READY_MAX => return Err(err),
-            Err(_) => sleep(READY_PAUSE).await,
+            Err(err) if started.elapsed() > READY_TIMEOUT => return Err(err),
+            Err(_) => sleep(READY_POLL_INTERVAL).await,
         }
     }
     let mut keys = BTreeMap::new();
@@ -262,9 +265,9 @@
 ) -> Result<()> {
     for zone in zones(config) {
         for service in config.services.keys() {
-            for at in 0..args.upstreams {
-                let plan = Plan {
-                    name: format!("{service}-{zone}-{at}"),
+            for index in 0..args.upstreams {
+                let options = Plan {
+                    name: format!("{service}-{zone}-{index}"),
                     zone: zone.clone(),
                     service: service.clone(),
                     slots: 8,
@@ -274,7 +277,7 @@
                     port: None,
                     announced: None,
                 };
-                Upstream::start(plan, entries.to_vec(), None, token.child_token()).await?;
+                Upstream::start(options, entries.to_vec(), None, token.child_token()).await?;
             }
         }
     }
@@ -287,13 +290,13 @@
     entries: &[SocketAddr],
     token: &CancellationToken,
 ) -> Arc<Mutex<worker::Record>> {
-    let record: Arc<Mutex<worker::Record>> = Arc::default();
+    let worker_stats: Arc<Mutex<worker::Record>> = Arc::default();
     for zone in zones(config) {
-        for at in 0..args.workers {
-            let plan = worker::Plan {
-                name: format!("worker-{zone}-{at}"),
+        for index in 0..args.workers {
+            let options = worker::Plan {
+                name: format!("worker-{zone}-{index}"),
                 zone: zone.clone(),
-                rack: format!("rack-{}", at / 6),
+                rack: format!("rack-{}", index / 6),
                 size: Size {
                     cpu_milli: 32_000,
                     memory_mb: 128 << 10,
@@ -301,16 +304,26 @@
                 },
                 fails: false,
             };
-            let record = Arc::clone(&record);
-            let worker = worker::run(plan, entries.to_vec(), None, record, token.child_token());
+            let worker_stats = Arc::clone(&worker_stats);
+            let worker = worker::run(
+                options,
+                entries.to_vec(),
+                None,
+                worker_stats,
+                token.child_token(),
+            );
             tokio::spawn(worker);
         }
     }
-    record
+    worker_stats
 }
 
 /// Waits until every entry instance has answered a request with each team's key.
-async fn wait_serving(cell: &Cell, config: &Config, keys: &BTreeMap<String, String>) -> Result<()> {
+async fn wait_until_ready(
+    cell: &Cell,
+    config: &Config,
+    keys: &BTreeMap<String, String>,
+) -> Result<()> {
     let started = Instant::now();
     let Some(service) = config.services.keys().next() else {
         return Ok(());
@@ -324,20 +337,20 @@
                 if answer.is_ok_and(|a| a.status().is_success()) {
                     break;
                 }
-                if started.elapsed() > READY_MAX {
+                if started.elapsed() > READY_TIMEOUT {
                     return Err(Error::new(
                         Kind::Internal,
                         "the cell did not become ready in time",
                     ));
                 }
-                sleep(READY_PAUSE).await;
+                sleep(READY_POLL_INTERVAL).await;
             }
         }
     }
     Ok(())
 }
 
-fn introduce(
+fn print_access(
     cell: &Cell,
     config: &Config,
     keys: &BTreeMap<String, String>,
@@ -370,7 +383,7 @@
     Ok(())
 }
 
-async fn wait_end(seconds: Option<Duration>) -> Result<()> {
+async fn wait_for_shutdown(seconds: Option<Duration>) -> Result<()> {
     let interrupted = tokio::signal::ctrl_c();
     match seconds {
         Some(seconds) => {
@@ -381,35 +394,39 @@
     Ok(())
 }
 
-fn summarise(all: &[Status], totals: &Totals, record: &worker::Record) -> Result<()> {
+fn print_summary(
+    statuses: &[Status],
+    totals: &Totals,
+    worker_stats: &worker::Record,
+) -> Result<()> {
     let mut sums: BTreeMap<&str, (u64, Duration, u32)> = BTreeMap::new();
-    for stat in all.iter().flat_map(|s| &s.teams) {
-        let sum = sums.entry(&stat.team).or_default();
-        sum.0 += stat.completed;
-        sum.1 += stat.slot_time;
-        sum.2 = stat.share;
+    for load in statuses.iter().flat_map(|s| &s.teams) {
+        let sum = sums.entry(&load.team).or_default();
+        sum.0 += load.completed;
+        sum.1 += load.slot_time;
+        sum.2 = load.share;
     }
-    let time: f64 = sums.values().map(|s| s.1.as_secs_f64()).sum();
-    let shares: u32 = sums.values().map(|s| s.2).sum();
+    let total_time: f64 = sums.values().map(|s| s.1.as_secs_f64()).sum();
+    let total_share: u32 = sums.values().map(|s| s.2).sum();
     print("")?;
-    for (team, (completed, used, share)) in sums {
+    for (team, (completed, slot_time, share)) in sums {
         print(format_args!(
             "{team}: {completed} requests completed, {:.1} % of slot time, share {:.1} %",
-            used.as_secs_f64() / time.max(f64::MIN_POSITIVE) * 100.0,
-            f64::from(share) / f64::from(shares.max(1)) * 100.0
+            slot_time.as_secs_f64() / total_time.max(f64::MIN_POSITIVE) * 100.0,
+            f64::from(share) / f64::from(total_share.max(1)) * 100.0
         ))?;
     }
-    let wait = |quantile: f64| totals.waiting.value_at_quantile(quantile) as f64 / 1_000.0;
+    let waiting_ms = |quantile: f64| totals.waiting.value_at_quantile(quantile) as f64 / 1_000.0;
     print(format_args!(
         "waiting p50 {:.2} ms, p99 {:.2} ms",
-        wait(0.5),
-        wait(0.99)
+        waiting_ms(0.5),
+        waiting_ms(0.99)
     ))?;
     for (kind, count) in &totals.refused {
         print(format_args!("refused {count} {kind}"))?;
     }
     print(format_args!(
         "{} tasks started, {} ended, {} at most in one place",
-        record.started, record.ended, record.most
+        worker_stats.started, worker_stats.ended, worker_stats.most
     ))
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -29,7 +29,7 @@
 pub mod zone;
 
 /// Time limit for one request to an instance.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Operates a plantaincross cell.
 #[derive(Debug, Parser)]
@@ -58,7 +58,7 @@
 
 /// Address of an instance and the operator's credentials.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Cell {
+pub struct Connection {
     /// HTTP address of any entry instance
     #[arg(long, env = "PLANTAINCROSS_AT", default_value = "127.0.0.1:8080")]
     pub at: SocketAddr,
@@ -67,7 +67,7 @@
     pub secret_file: PathBuf,
 }
 
-impl Cell {
+impl Connection {
     /// Creates a client that authenticates with the operators' token.
     ///
     /// # Errors
@@ -76,7 +76,11 @@
     pub fn client(&self) -> Result<Client> {
         let secret = read_secret(&self.secret_file)
             .map_err(|message| Error::new(Kind::InvalidConfig, message))?;
-        Ok(Client::new(self.at, Some(operator_token(&secret)), TIMEOUT))
+        Ok(Client::new(
+            self.at,
+            Some(operator_token(&secret)),
+            REQUEST_TIMEOUT,
+        ))
     }
 }
 
@@ -85,8 +89,13 @@
 /// # Errors
 ///
 /// Fails if the secret cannot be read or the instance cannot be reached.
-pub fn shown(cell: &Cell) -> Result<Shown> {
-    block_on(async { cell.client()?.call("GET", "/v1/config", None::<&()>).await })
+pub fn fetch_config(connection: &Connection) -> Result<Shown> {
+    block_on(async {
+        connection
+            .client()?
+            .call("GET", "/v1/config", None::<&()>)
+            .await
+    })
 }
 
 /// Runs the selected subcommand.
--- a/src/cmd/push.rs
+++ b/src/cmd/push.rs
@@ -6,16 +6,16 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::client::{Client, read};
 use crate::config::{Source, read_folder};
 use crate::error::{Error, Kind, Result};
 use crate::http::{Faults, PushBody, Pushed};
 
 /// Time limit for a version to come into force at every instance.
-const WAIT_MAX: Duration = Duration::from_secs(7);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(7);
 /// Interval between status requests with `--wait`.
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Pushes a configuration folder that replaces a given version.
 ///
@@ -36,7 +36,7 @@
     #[arg(long)]
     wait: bool,
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
@@ -47,12 +47,12 @@
 /// report the version in time.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
-        let mut client = args.cell.client()?;
+        let mut client = args.connection.client()?;
         let files = read_folder(&args.folder)?;
         let version = push(&mut client, args.replaces, &args.operator, files).await?;
         print(format_args!("version {version}"))?;
         if args.wait {
-            wait(&mut client, version).await?;
+            wait_until_in_force(&mut client, version).await?;
         }
         Ok(())
     })
@@ -88,11 +88,11 @@
     Ok(pushed.version)
 }
 
-async fn wait(client: &mut Client, version: u64) -> Result<()> {
+async fn wait_until_in_force(client: &mut Client, version: u64) -> Result<()> {
     let started = Instant::now();
     loop {
-        let all: Vec<Value> = client.call("GET", "/v1/status", None::<&()>).await?;
-        let behind: Vec<String> = all
+        let statuses: Vec<Value> = client.call("GET", "/v1/status", None::<&()>).await?;
+        let behind: Vec<String> = statuses
             .iter()
             .filter(|s| s["version"].as_u64().unwrap_or(0) < version)
             .map(|s| s["name"].as_str().unwrap_or("?").to_owned())
@@ -101,16 +101,16 @@
             let millis = started.elapsed().as_millis();
             return print(format_args!(
                 "in force at {} instances after {millis} ms",
-                all.len()
+                statuses.len()
             ));
         }
-        if started.elapsed() > WAIT_MAX {
+        if started.elapsed() > WAIT_TIMEOUT {
             let message = format!(
                 "version {version} is not yet in force at {}",
                 behind.join(" ")
             );
             return Err(Error::new(Kind::NoQuorum, message));
         }
-        sleep(WAIT_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -1,13 +1,13 @@
 //! `plantaincross show`: prints the configuration in force.
 
-use super::{Cell, print, shown};
+use super::{Connection, fetch_config, print};
 use crate::error::Result;
 
 /// Prints the configuration in force at one instance as JSON.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
@@ -16,7 +16,7 @@
 ///
 /// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
-    let shown = shown(&args.cell)?;
+    let shown = fetch_config(&args.connection)?;
     print(format_args!(
         "# version {} digest {}",
         shown.version, shown.digest
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,6 +1,6 @@
 //! `plantaincross status`: prints the state of the instances.
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::core::control::Status;
 use crate::error::Result;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
@@ -22,18 +22,22 @@
 /// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
-        let all: Vec<Status> = args
-            .cell
+        let statuses: Vec<Status> = args
+            .connection
             .client()?
             .call("GET", "/v1/status", None::<&()>)
             .await?;
-        for s in &all {
-            let fresh = s.fresh_ms.map_or("-".to_owned(), |ms| ms.to_string());
-            let root = s.root_leader.as_deref().unwrap_or("-");
-            let leads = if s.leads_zone { "zone-leader" } else { "-" };
+        for status in &statuses {
+            let age = status.fresh_ms.map_or("-".to_owned(), |ms| ms.to_string());
+            let root = status.root_leader.as_deref().unwrap_or("-");
+            let leads = if status.leads_zone {
+                "zone-leader"
+            } else {
+                "-"
+            };
             print(format_args!(
-                "{}\t{}\tv{}\t@{}\t{fresh}ms\troot={root}\t{leads}",
-                s.name, s.zone, s.version, s.applied
+                "{}\t{}\tv{}\t@{}\t{age}ms\troot={root}\t{leads}",
+                status.name, status.zone, status.version, status.applied
             ))?;
         }
         Ok(())
--- a/src/cmd/team.rs
+++ b/src/cmd/team.rs
@@ -4,7 +4,7 @@
 
 use clap::Subcommand;
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::core::control::Status;
 use crate::error::Result;
 use crate::http::Shown;
@@ -21,7 +21,7 @@
     /// Lists the teams: name, share, limit, and running, waiting and completed requests
     List {
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
 }
 
@@ -31,17 +31,17 @@
 ///
 /// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
-    let Action::List { cell } = &args.action;
+    let Action::List { connection } = &args.action;
     block_on(async {
-        let mut client = cell.client()?;
+        let mut client = connection.client()?;
         let shown: Shown = client.call("GET", "/v1/config", None::<&()>).await?;
-        let all: Vec<Status> = client.call("GET", "/v1/status", None::<&()>).await?;
+        let statuses: Vec<Status> = client.call("GET", "/v1/status", None::<&()>).await?;
         let mut sums: BTreeMap<&str, (u64, u64, u64)> = BTreeMap::new();
-        for stat in all.iter().flat_map(|s| &s.teams) {
-            let sum = sums.entry(&stat.team).or_default();
-            sum.0 += stat.running;
-            sum.1 += stat.waiting;
-            sum.2 += stat.completed;
+        for load in statuses.iter().flat_map(|s| &s.teams) {
+            let sum = sums.entry(&load.team).or_default();
+            sum.0 += load.running;
+            sum.1 += load.waiting;
+            sum.2 += load.completed;
         }
         for (name, team) in &shown.config.teams {
             let (running, waiting, completed) =
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::client::Client;
 use crate::error::Result;
 use crate::event::Record;
 use crate::http::Events;
 
 /// Interval between requests for new events with `--follow`.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Merges the events of several instances into one timeline.
 ///
@@ -34,7 +34,7 @@
     #[arg(long)]
     follow: bool,
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
@@ -44,33 +44,33 @@
 /// Fails if an instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
-        let mut clients = vec![args.cell.client()?];
+        let mut clients = vec![args.connection.client()?];
         for &at in &args.also {
-            let cell = Cell {
+            let connection = Connection {
                 at,
-                ..args.cell.clone()
+                ..args.connection.clone()
             };
-            clients.push(cell.client()?);
+            clients.push(connection.client()?);
         }
         let mut seen = vec![0; clients.len()];
         loop {
-            for record in collect(&mut clients, &mut seen).await? {
+            for record in fetch(&mut clients, &mut seen).await? {
                 let line = format_line(&record);
-                if wanted(args, &record, &line) {
+                if is_selected(args, &record, &line) {
                     print(line)?;
                 }
             }
             if !args.follow {
                 return Ok(());
             }
-            tokio::time::sleep(FOLLOW_PAUSE).await;
+            tokio::time::sleep(FOLLOW_INTERVAL).await;
         }
     })
 }
 
 /// Fetches the records after the last seen sequence number of every instance and
 /// merges them in order of time.
-async fn collect(clients: &mut [Client], seen: &mut [u64]) -> Result<Vec<Record>> {
+async fn fetch(clients: &mut [Client], seen: &mut [u64]) -> Result<Vec<Record>> {
     let mut merged = BTreeMap::new();
     for (client, seen) in clients.iter_mut().zip(seen) {
         loop {
@@ -111,7 +111,7 @@
     )
 }
 
-fn wanted(args: &Args, record: &Record, line: &str) -> bool {
+fn is_selected(args: &Args, record: &Record, line: &str) -> bool {
     let by_number = args.number.is_empty() || args.number.contains(&record.number);
     by_number && args.only.iter().all(|text| line.contains(text))
 }
--- a/src/cmd/zone.rs
+++ b/src/cmd/zone.rs
@@ -2,7 +2,7 @@
 
 use clap::Subcommand;
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::error::Result;
 
 /// Administers an availability zone.
@@ -23,7 +23,7 @@
         /// Name of the zone
         zone: String,
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
 }
 
@@ -33,10 +33,13 @@
 ///
 /// Fails if the root group or every instance of the zone is unreachable.
 pub fn run(args: &Args) -> Result<()> {
-    let Action::Replace { zone, cell } = &args.action;
+    let Action::Replace { zone, connection } = &args.action;
     block_on(async {
         let path = format!("/v1/zones/{zone}/replace");
-        let () = cell.client()?.call("POST", &path, None::<&()>).await?;
+        let () = connection
+            .client()?
+            .call("POST", &path, None::<&()>)
+            .await?;
         print("replaced")
     })
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -4,4 +4,4 @@
 mod upstream;
 pub mod worker;
 
-pub use upstream::{Behaviour, Ledger, Plan, Upstream};
+pub use upstream::{Behaviour, Plan, Stats, Upstream};
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -22,11 +22,11 @@
 use crate::error::Result;
 
 /// Delay between the body of a truncated answer and the abort of its connection.
-const CUT_AFTER: Duration = Duration::from_millis(50);
+const TRUNCATION_DELAY: Duration = Duration::from_millis(50);
 /// Interval between heartbeats.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Time limit for the answer to a heartbeat.
-const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How an upstream answers requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 
 /// Counters of an upstream's requests and connections.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Stats {
     /// Requests currently running.
     pub running: u32,
     /// Highest number of requests that ran concurrently.
@@ -81,10 +81,10 @@
     service_time: Mutex<Duration>,
     behaviour: Mutex<Behaviour>,
     leaving: Mutex<bool>,
-    muted: Mutex<bool>,
+    heartbeats_paused: Mutex<bool>,
     seen: Mutex<Option<String>>,
     counts: bool,
-    ledger: Mutex<Ledger>,
+    stats: Mutex<Stats>,
     token: CancellationToken,
 }
 
@@ -118,35 +118,35 @@
     ///
     /// Fails if the port cannot be opened.
     pub async fn start(
-        plan: Plan,
+        options: Plan,
         entries: Vec<SocketAddr>,
         platform_token: Option<String>,
         token: CancellationToken,
     ) -> Result<Self> {
-        let listener = TcpListener::bind(("127.0.0.1", plan.port.unwrap_or(0))).await?;
+        let listener = TcpListener::bind(("127.0.0.1", options.port.unwrap_or(0))).await?;
         let state = Arc::new(Inner {
-            name: plan.name,
-            zone: plan.zone,
-            service: plan.service,
-            address: match plan.announced {
+            name: options.name,
+            zone: options.zone,
+            service: options.service,
+            address: match options.announced {
                 Some(address) => address,
                 None => listener.local_addr()?,
             },
-            slots: plan.slots,
-            connections: plan.connections,
+            slots: options.slots,
+            connections: options.connections,
             incarnation: incarnation(),
-            service_time: Mutex::new(plan.service_time),
+            service_time: Mutex::new(options.service_time),
             behaviour: Mutex::new(Behaviour::Echo),
             leaving: Mutex::new(false),
-            muted: Mutex::new(false),
+            heartbeats_paused: Mutex::new(false),
             seen: Mutex::new(None),
-            counts: plan.counts,
-            ledger: Mutex::default(),
+            counts: options.counts,
+            stats: Mutex::default(),
             token,
         });
         let upstream = Self { state };
         tokio::spawn(upstream.clone().serve(listener));
-        tokio::spawn(upstream.clone().announce(entries, platform_token));
+        tokio::spawn(upstream.clone().send_heartbeats(entries, platform_token));
         Ok(upstream)
     }
 
@@ -176,13 +176,17 @@
     }
 
     /// Stops or resumes the heartbeats.
-    pub fn mute(&self, muted: bool) {
-        *self.state.muted.lock().expect("muted lock") = muted;
+    pub fn set_heartbeats_paused(&self, paused: bool) {
+        *self
+            .state
+            .heartbeats_paused
+            .lock()
+            .expect("heartbeats lock") = paused;
     }
 
     /// Calls `read` with the current counters.
-    pub fn ledger<T>(&self, read: impl FnOnce(&Ledger) -> T) -> T {
-        read(&self.state.ledger.lock().expect("ledger lock"))
+    pub fn ledger<T>(&self, read: impl FnOnce(&Stats) -> T) -> T {
+        read(&self.state.stats.lock().expect("stats lock"))
     }
 
     /// Stops the upstream immediately and closes its connections.
@@ -192,7 +196,7 @@
 
     async fn serve(self, listener: TcpListener) {
         let app = Router::new()
-            .fallback(answer)
+            .fallback(handle)
             .with_state(Arc::clone(&self.state));
         loop {
             let stream = tokio::select! {
@@ -214,23 +218,29 @@
                     _ = connection => {}
                     () = state.token.cancelled() => {}
                 }
-                state.ledger.lock().expect("ledger lock").connections -= 1;
+                state.stats.lock().expect("stats lock").connections -= 1;
             });
         }
     }
 
-    async fn announce(self, entries: Vec<SocketAddr>, platform_token: Option<String>) {
-        let mut ticks = interval(ANNOUNCE_EVERY);
+    async fn send_heartbeats(self, entries: Vec<SocketAddr>, platform_token: Option<String>) {
+        let mut ticks = interval(HEARTBEAT_INTERVAL);
         let mut clients: Vec<Client> = entries
             .into_iter()
-            .map(|entry| Client::new(entry, platform_token.clone(), ANNOUNCE_TIMEOUT))
+            .map(|entry| Client::new(entry, platform_token.clone(), HEARTBEAT_TIMEOUT))
             .collect();
         for turn in 0usize.. {
             tokio::select! {
                 _ = ticks.tick() => {}
                 () = self.state.token.cancelled() => return,
             }
-            if clients.is_empty() || *self.state.muted.lock().expect("muted lock") {
+            if clients.is_empty()
+                || *self
+                    .state
+                    .heartbeats_paused
+                    .lock()
+                    .expect("heartbeats lock")
+            {
                 continue;
             }
             let at = turn % clients.len();
@@ -238,7 +248,7 @@
             let accepted: Result<serde_json::Value> =
                 clients[at].call("POST", "/v1/upstreams", Some(&body)).await;
             match accepted {
-                Ok(answer) => self.state.see(&answer),
+                Ok(answer) => self.state.record_seen(&answer),
                 Err(err) => log::debug!("{}: {err}", self.state.name),
             }
         }
@@ -247,7 +257,7 @@
 
 impl Inner {
     fn heartbeat(&self) -> serde_json::Value {
-        let ledger = self.ledger.lock().expect("ledger lock");
+        let stats = self.stats.lock().expect("stats lock");
         let mut body = serde_json::json!({
             "name": self.name,
             "incarnation": self.incarnation,
@@ -259,21 +269,21 @@
             "leaving": *self.leaving.lock().expect("leaving lock"),
         });
         if self.counts {
-            body["running"] = serde_json::json!(ledger.by_sender);
+            body["running"] = serde_json::json!(stats.by_sender);
             body["seen"] = serde_json::json!(*self.seen.lock().expect("seen lock"));
         }
         body
     }
 
-    fn see(&self, answer: &serde_json::Value) {
+    fn record_seen(&self, answer: &serde_json::Value) {
         let seen = answer["seen"].as_str().map(str::to_owned);
         *self.seen.lock().expect("seen lock") = seen;
     }
 
     fn count_connection(&self) {
-        let mut ledger = self.ledger.lock().expect("ledger lock");
-        ledger.connections += 1;
-        ledger.most_connections = ledger.most_connections.max(ledger.connections);
+        let mut stats = self.stats.lock().expect("stats lock");
+        stats.connections += 1;
+        stats.most_connections = stats.most_connections.max(stats.connections);
     }
 }
 
@@ -293,12 +303,12 @@
                 .to_owned()
         };
         let sender = text("x-plantaincross-sender");
-        let mut ledger = state.ledger.lock().expect("ledger lock");
-        ledger.running += 1;
-        ledger.most_running = ledger.most_running.max(ledger.running);
-        *ledger.runs.entry(text("x-request-id")).or_default() += 1;
-        *ledger.teams.entry(text("x-team")).or_default() += 1;
-        *ledger.by_sender.entry(sender.clone()).or_default() += 1;
+        let mut stats = state.stats.lock().expect("stats lock");
+        stats.running += 1;
+        stats.most_running = stats.most_running.max(stats.running);
+        *stats.runs.entry(text("x-request-id")).or_default() += 1;
+        *stats.teams.entry(text("x-team")).or_default() += 1;
+        *stats.by_sender.entry(sender.clone()).or_default() += 1;
         Self {
             state: Arc::clone(state),
             sender,
@@ -308,19 +318,19 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let mut ledger = self.state.ledger.lock().expect("ledger lock");
-        ledger.running -= 1;
-        if let Some(count) = ledger.by_sender.get_mut(&self.sender) {
+        let mut stats = self.state.stats.lock().expect("stats lock");
+        stats.running -= 1;
+        if let Some(count) = stats.by_sender.get_mut(&self.sender) {
             *count -= 1;
         }
-        ledger.by_sender.retain(|_, count| *count > 0);
+        stats.by_sender.retain(|_, count| *count > 0);
     }
 }
 
-async fn answer(State(state): State<Arc<Inner>>, request: Request) -> Response {
+async fn handle(State(state): State<Arc<Inner>>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     let run = Run::begin(&state, &head.headers);
-    let work = tokio::spawn(work(Arc::clone(&state), run));
+    let work = tokio::spawn(simulate_work(Arc::clone(&state), run));
     let behaviour = *state.behaviour.lock().expect("behaviour lock");
     let body = axum::body::to_bytes(body, usize::MAX)
         .await
@@ -342,12 +352,12 @@
             Response::new(Body::empty())
         }
         Behaviour::Short => {
-            let cut = futures_util::stream::once(async {
-                sleep(CUT_AFTER).await;
+            let abort = futures_util::stream::once(async {
+                sleep(TRUNCATION_DELAY).await;
                 Err(std::io::Error::other("answer truncated"))
             });
-            let part = futures_util::stream::iter([Ok(text)]).chain(cut);
-            Response::new(Body::from_stream(part))
+            let truncated = futures_util::stream::iter([Ok(text)]).chain(abort);
+            Response::new(Body::from_stream(truncated))
         }
         Behaviour::Crossed => Response::new(Body::from(text)),
         // A panic in the handler makes the server close the connection.
@@ -369,7 +379,7 @@
 
 // Runs as its own task, so that the work continues if the caller closes the connection,
 // as on a real upstream.
-async fn work(state: Arc<Inner>, run: Run) {
+async fn simulate_work(state: Arc<Inner>, run: Run) {
     let time = *state.service_time.lock().expect("time lock");
     sleep(time).await;
     drop(run);
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -18,7 +18,7 @@
 /// Time limit for the answer to a poll; exceeds the time that a poll may be held.
 const POLL_TIMEOUT: Duration = Duration::from_secs(7);
 /// Delay before the next poll after a failed one.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Identity, capacity and behaviour of a worker.
 #[derive(Clone, Debug)]
@@ -53,27 +53,27 @@
 struct Running {
     attempt: u64,
     size: Size,
-    until: Option<Instant>,
+    ends_at: Option<Instant>,
 }
 
 /// Runs a worker until the token is cancelled.
 pub async fn run(
-    plan: Plan,
+    options: Plan,
     entries: Vec<SocketAddr>,
     platform_token: Option<String>,
-    record: Arc<Mutex<Record>>,
+    stats: Arc<Mutex<Record>>,
     token: CancellationToken,
 ) {
     let mut clients: Vec<Client> = entries
         .into_iter()
         .map(|at| Client::new(at, platform_token.clone(), POLL_TIMEOUT))
         .collect();
-    let mut worker = State {
-        plan,
-        record,
+    let mut worker = Worker {
+        options,
+        stats,
         running: BTreeMap::new(),
         ended: Vec::new(),
-        number: 0,
+        poll_number: 0,
         seen: 0,
         lease_until: Instant::now(),
     };
@@ -88,7 +88,7 @@
         };
         if polled.is_err() {
             turn += 1;
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         worker.end_due();
         worker.end_without_lease();
@@ -102,27 +102,27 @@
     }
 }
 
-struct State {
-    plan: Plan,
-    record: Arc<Mutex<Record>>,
+struct Worker {
+    options: Plan,
+    stats: Arc<Mutex<Record>>,
     running: BTreeMap<Task, Running>,
     ended: Vec<EndReport>,
-    number: u64,
+    poll_number: u64,
     seen: u64,
     lease_until: Instant,
 }
 
-impl State {
+impl Worker {
     async fn poll(&mut self, client: &mut Client) -> Result<()> {
-        self.number += 1;
+        self.poll_number += 1;
         let sent = Instant::now();
         let poll = Poll {
-            name: self.plan.name.clone(),
+            name: self.options.name.clone(),
             incarnation: 1,
-            zone: self.plan.zone.clone(),
-            rack: self.plan.rack.clone(),
-            size: self.plan.size,
-            number: self.number,
+            zone: self.options.zone.clone(),
+            rack: self.options.rack.clone(),
+            size: self.options.size,
+            number: self.poll_number,
             seen: self.seen,
             running: self
                 .running
@@ -139,11 +139,11 @@
         };
         let orders: Orders = client.call("POST", "/v1/workers/poll", Some(&poll)).await?;
         self.lease_until = sent + Duration::from_millis(orders.lease_ms);
-        self.carry_out(orders);
+        self.execute(orders);
         Ok(())
     }
 
-    fn carry_out(&mut self, orders: Orders) {
+    fn execute(&mut self, orders: Orders) {
         self.seen = orders.number;
         self.ended
             .retain(|end| !orders.ended.contains(&(end.task, end.attempt)));
@@ -169,15 +169,15 @@
             if known || Instant::now() >= self.lease_until {
                 continue;
             }
-            let length = Duration::from_millis(start.run_ms);
+            let duration = Duration::from_millis(start.run_ms);
             let run = Running {
                 attempt: start.attempt,
                 size: start.size,
-                until: (start.run_ms > 0).then(|| Instant::now() + length),
+                ends_at: (start.run_ms > 0).then(|| Instant::now() + duration),
             };
             self.running.insert(start.task, run);
-            self.note_start(start.task);
-            if self.plan.fails {
+            self.record_start(start.task);
+            if self.options.fails {
                 self.end(start.task, false, false);
             }
         }
@@ -190,7 +190,7 @@
     }
 
     fn next_end(&self) -> Option<Instant> {
-        self.running.values().filter_map(|run| run.until).min()
+        self.running.values().filter_map(|run| run.ends_at).min()
     }
 
     fn end_due(&mut self) {
@@ -198,7 +198,7 @@
         let due: Vec<Task> = self
             .running
             .iter()
-            .filter(|(_, run)| run.until.is_some_and(|until| until <= now))
+            .filter(|(_, run)| run.ends_at.is_some_and(|ends_at| ends_at <= now))
             .map(|(&task, _)| task)
             .collect();
         for task in due {
@@ -226,20 +226,20 @@
             ok,
             evicted,
         });
-        let mut record = self.record.lock().expect("record lock");
-        record.ended += u64::from(ok);
-        if let Some(count) = record.running.get_mut(&task) {
+        let mut stats = self.stats.lock().expect("stats lock");
+        stats.ended += u64::from(ok);
+        if let Some(count) = stats.running.get_mut(&task) {
             *count -= 1;
         }
-        record.running.retain(|_, count| *count > 0);
+        stats.running.retain(|_, count| *count > 0);
     }
 
-    fn note_start(&self, task: Task) {
-        let mut record = self.record.lock().expect("record lock");
-        let count = record.running.entry(task).or_default();
+    fn record_start(&self, task: Task) {
+        let mut stats = self.stats.lock().expect("stats lock");
+        let count = stats.running.entry(task).or_default();
         *count += 1;
         let count = *count;
-        record.most = record.most.max(count);
-        record.started += 1;
+        stats.most = stats.most.max(count);
+        stats.started += 1;
     }
 }
