--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -90,6 +90,7 @@
     /// Orders reported as not run although an earlier answer shows that they ran.
     /// Reported as `untrue_not_run`.
     false_not_run: u64,
+    /// First answer to each order, by id.
     order_answers: BTreeMap<String, Bytes>,
     offered_worth: u64,
     gained_worth: u64,
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -60,6 +60,7 @@
     pub runs: HashMap<String, u32>,
     /// Number of started requests by team.
     pub teams: BTreeMap<String, u64>,
+    /// Running requests by sender.
     by_sender: BTreeMap<String, u32>,
 }
 
@@ -82,6 +83,7 @@
     behaviour: Mutex<Behaviour>,
     leaving: Mutex<bool>,
     heartbeats_paused: Mutex<bool>,
+    /// `seen` of the latest answer to a heartbeat, returned in the next heartbeat.
     seen: Mutex<Option<String>>,
     counts: bool,
     stats: Mutex<Stats>,
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -53,6 +53,7 @@
 struct Running {
     attempt: u64,
     size: Size,
+    /// `None` for a task that runs until it is stopped.
     ends_at: Option<Instant>,
 }
 
@@ -106,8 +107,10 @@
     options: Plan,
     stats: Arc<Mutex<Record>>,
     running: BTreeMap<Task, Running>,
+    /// Ended runs that no answer has acknowledged yet.
     ended: Vec<EndReport>,
     poll_number: u64,
+    /// Number of the latest answer whose orders were carried out.
     seen: u64,
     lease_until: Instant,
 }
