--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,44 +1,44 @@
-//! `plantaincross diff FOLDER`
+//! `plantaincross diff FOLDER`: compares a folder with the configuration in force.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
 use serde_json::Value;
 
-use super::{Cell, print, shown};
+use super::{Connection, fetch_config, print};
 use crate::config::{Config, merge, read_folder};
 use crate::error::{Error, Kind, Result};
 
-/// Compares a folder with the configuration in force.
+/// Compares a configuration folder with the configuration in force.
 ///
-/// Prints a line for each value that a push would change: `-` in force, `+` in
-/// the folder.
+/// Prints one line for each value that a push would change: `-` for the value in
+/// force, `+` for the value in the folder.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Folder with the `.ini` files
+    /// Folder that holds the `.ini` files
     folder: PathBuf,
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
 ///
-/// Fails if the folder has errors or the instance cannot be asked.
+/// Fails if the folder's configuration is invalid or the instance cannot be reached.
 pub fn run(args: &Args) -> Result<()> {
     let sources = read_folder(&args.folder)?;
     let new = merge(&sources).map_err(|faults| {
         let message = faults.first().map(ToString::to_string).unwrap_or_default();
         Error::new(Kind::InvalidConfig, message)
     })?;
-    for line in changes(&shown(&args.cell)?.config, &new) {
+    for line in changes(&fetch_config(&args.connection)?.config, &new) {
         print(line)?;
     }
     Ok(())
 }
 
-/// Returns the lines that tell `old` from `new`.
+/// Returns the differing values of two configurations as lines, sorted by key.
 pub fn changes(old: &Config, new: &Config) -> Vec<String> {
     let (old, new) = (flatten(old), flatten(new));
     let mut lines = Vec::new();
@@ -61,15 +61,15 @@
 fn flatten(config: &Config) -> BTreeMap<String, Value> {
     let mut flat = BTreeMap::new();
     let value = serde_json::to_value(config).expect("configuration encodes");
-    put(&mut flat, "", value);
+    insert(&mut flat, "", value);
     flat
 }
 
-fn put(flat: &mut BTreeMap<String, Value>, path: &str, value: Value) {
+fn insert(flat: &mut BTreeMap<String, Value>, path: &str, value: Value) {
     match value {
         Value::Object(map) => {
             for (key, value) in map {
-                put(flat, &format!("{path}/{key}"), value);
+                insert(flat, &format!("{path}/{key}"), value);
             }
         }
         value => {
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -1,13 +1,13 @@
-//! `plantaincross key give TEAM | withdraw ID | list`
+//! `plantaincross key give TEAM | withdraw ID | list`: manages the teams' API keys.
 
 use clap::Subcommand;
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::error::{Error, Kind, Result};
 use crate::http::{GiveBody, ShownKey, WithdrawnBody};
 use crate::util::sha256;
 
-/// Gives, withdraws and lists keys.
+/// Issues, withdraws and lists API keys.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(subcommand)]
@@ -16,30 +16,30 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Gives a new key and prints its secret, which is not kept anywhere
+    /// Issues a new key and prints its secret; only the secret's digest is stored
     Give {
-        /// Team that it stands for
+        /// Team that the key authenticates
         team: String,
-        /// Name of the key
+        /// Id of the key; generated from the team's name if omitted
         #[arg(long)]
         id: Option<String>,
-        /// Zone that goes on taking it while cut off
+        /// Zone that keeps accepting the key while it is partitioned from the others
         #[arg(long)]
         home_zone: Option<String>,
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
-    /// Withdraws a key for good
+    /// Withdraws a key permanently
     Withdraw {
-        /// Name of the key
+        /// Id of the key
         id: String,
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
-    /// Lists the keys
+    /// Lists the keys: id, team, home zone, state
     List {
         #[command(flatten)]
-        cell: Cell,
+        connection: Connection,
     },
 }
 
@@ -47,22 +47,27 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked or refuses; a withdrawal that its home
-/// zone has not confirmed fails and names the zone.
+/// Fails if the instance cannot be reached or rejects the request, or if the key's
+/// home zone has not confirmed a withdrawal; the error names the zone.
 pub fn run(args: &Args) -> Result<()> {
     match &args.action {
         Action::Give {
             team,
             id,
             home_zone,
-            cell,
-        } => give(cell, team, id.as_deref(), home_zone.as_deref()),
-        Action::Withdraw { id, cell } => withdraw(cell, id),
-        Action::List { cell } => list(cell),
+            connection,
+        } => give(connection, team, id.as_deref(), home_zone.as_deref()),
+        Action::Withdraw { id, connection } => withdraw(connection, id),
+        Action::List { connection } => list(connection),
     }
 }
 
-fn give(cell: &Cell, team: &str, id: Option<&str>, home_zone: Option<&str>) -> Result<()> {
+fn give(
+    connection: &Connection,
+    team: &str,
+    id: Option<&str>,
+    home_zone: Option<&str>,
+) -> Result<()> {
     let secret = hex::encode(rand::random::<[u8; 24]>());
     let id = id.map_or_else(
         || format!("{team}-{}", hex::encode(rand::random::<[u8; 4]>())),
@@ -75,26 +80,35 @@
         home_zone: home_zone.map(str::to_owned),
     };
     block_on(async {
-        let () = cell.client()?.call("POST", "/v1/keys", Some(&body)).await?;
+        let () = connection
+            .client()?
+            .call("POST", "/v1/keys", Some(&body))
+            .await?;
         print(format_args!("{id}\t{secret}"))
     })
 }
 
-fn withdraw(cell: &Cell, id: &str) -> Result<()> {
+fn withdraw(connection: &Connection, id: &str) -> Result<()> {
     block_on(async {
         let path = format!("/v1/keys/{id}");
-        let body: WithdrawnBody = cell.client()?.call("DELETE", &path, None::<&()>).await?;
+        let body: WithdrawnBody = connection
+            .client()?
+            .call("DELETE", &path, None::<&()>)
+            .await?;
         if let Some(zone) = body.waits_for {
-            let message = format!("not yet accepted: zone {zone} cannot be reached");
+            let message = format!("withdrawal not yet confirmed: zone {zone} is unreachable");
             return Err(Error::new(Kind::NoQuorum, message));
         }
         print("withdrawn")
     })
 }
 
-fn list(cell: &Cell) -> Result<()> {
+fn list(connection: &Connection) -> Result<()> {
     block_on(async {
-        let keys: Vec<ShownKey> = cell.client()?.call("GET", "/v1/keys", None::<&()>).await?;
+        let keys: Vec<ShownKey> = connection
+            .client()?
+            .call("GET", "/v1/keys", None::<&()>)
+            .await?;
         for key in keys {
             let state = if key.withdrawn { "withdrawn" } else { "valid" };
             let home = key.home_zone.as_deref().unwrap_or("-");
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,38 +1,43 @@
-//! `plantaincross status`
+//! `plantaincross status`: prints the state of the instances.
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::core::control::Status;
 use crate::error::Result;
 
-/// Shows how every reachable instance stands.
+/// Shows the state of every reachable instance.
 ///
-/// One line each: name, zone, version in force, log position, age of its knowledge
-/// in ms, root leader, whether it leads its zone.
+/// One line each: name, zone, configuration version in force, index of the last
+/// applied log entry, age of its copy of the root group's state in ms, root leader,
+/// and whether the instance leads its zone.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot be asked.
+/// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
-        let all: Vec<Status> = args
-            .cell
+        let statuses: Vec<Status> = args
+            .connection
             .client()?
             .call("GET", "/v1/status", None::<&()>)
             .await?;
-        for s in &all {
-            let fresh = s.fresh_ms.map_or("-".to_owned(), |ms| ms.to_string());
-            let root = s.root_leader.as_deref().unwrap_or("-");
-            let leads = if s.leads_zone { "zone-leader" } else { "-" };
+        for status in &statuses {
+            let age = status.fresh_ms.map_or("-".to_owned(), |ms| ms.to_string());
+            let root = status.root_leader.as_deref().unwrap_or("-");
+            let leads = if status.leads_zone {
+                "zone-leader"
+            } else {
+                "-"
+            };
             print(format_args!(
-                "{}\t{}\tv{}\t@{}\t{fresh}ms\troot={root}\t{leads}",
-                s.name, s.zone, s.version, s.applied
+                "{}\t{}\tv{}\t@{}\t{age}ms\troot={root}\t{leads}",
+                status.name, status.zone, status.version, status.applied
             ))?;
         }
         Ok(())
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,73 +1,76 @@
-//! `plantaincross timeline [--request ID] [--job ID] [--follow]`
+//! `plantaincross timeline [--also ADDRESS] [--only TEXT] [--number N] [--follow]`:
+//! prints the events of several instances in order of time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{Cell, block_on, print};
+use super::{Connection, block_on, print};
 use crate::client::Client;
 use crate::error::Result;
 use crate::event::Record;
 use crate::http::Events;
 
-/// Pause between two looks with `--follow`.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between requests for new events with `--follow`.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Merges the events of several instances into one time line.
+/// Merges the events of several instances into one timeline.
 ///
-/// Every instance keeps its latest 20,000 events. Costs one request to each
-/// instance, and one every half second with `--follow`.
+/// Every instance keeps its latest 20,000 events. Sends one request to each instance,
+/// and with `--follow` another every half second.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// HTTP addresses of further instances
+    /// HTTP address of a further instance; repeat for several
     #[arg(long)]
     also: Vec<SocketAddr>,
-    /// Only events whose line contains this text: a request, job, team or instance
+    /// Only events whose line contains this text, such as the id of a request, job, team
+    /// or instance; if repeated, all must match
     #[arg(long)]
     only: Vec<String>,
-    /// Only events with these numbers
+    /// Only events with this number; repeat for several
     #[arg(long)]
     number: Vec<u16>,
-    /// Go on with new events until interrupted
+    /// Keep printing new events until interrupted
     #[arg(long)]
     follow: bool,
     #[command(flatten)]
-    cell: Cell,
+    connection: Connection,
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
 ///
-/// Fails if an instance cannot be asked.
+/// Fails if an instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
     block_on(async {
-        let mut clients = vec![args.cell.client()?];
+        let mut clients = vec![args.connection.client()?];
         for &at in &args.also {
-            let cell = Cell {
+            let connection = Connection {
                 at,
-                ..args.cell.clone()
+                ..args.connection.clone()
             };
-            clients.push(cell.client()?);
+            clients.push(connection.client()?);
         }
         let mut seen = vec![0; clients.len()];
         loop {
-            for record in collect(&mut clients, &mut seen).await? {
+            for record in fetch(&mut clients, &mut seen).await? {
                 let line = format_line(&record);
-                if wanted(args, &record, &line) {
+                if is_selected(args, &record, &line) {
                     print(line)?;
                 }
             }
             if !args.follow {
                 return Ok(());
             }
-            tokio::time::sleep(FOLLOW_PAUSE).await;
+            tokio::time::sleep(FOLLOW_INTERVAL).await;
         }
     })
 }
 
-/// Fetches the records after those seen from every instance, in order.
-async fn collect(clients: &mut [Client], seen: &mut [u64]) -> Result<Vec<Record>> {
+/// Fetches the records after the last seen sequence number of every instance and
+/// merges them in order of time.
+async fn fetch(clients: &mut [Client], seen: &mut [u64]) -> Result<Vec<Record>> {
     let mut merged = BTreeMap::new();
     for (client, seen) in clients.iter_mut().zip(seen) {
         loop {
@@ -108,7 +111,7 @@
     )
 }
 
-fn wanted(args: &Args, record: &Record, line: &str) -> bool {
+fn is_selected(args: &Args, record: &Record, line: &str) -> bool {
     let by_number = args.number.is_empty() || args.number.contains(&record.number);
     by_number && args.only.iter().all(|text| line.contains(text))
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the systems outside: upstreams and workers that speak the
-//! published protocols. For trials, tests and measurements.
+//! Simulated upstreams and workers that speak the published protocols, for trials,
+//! tests and measurements.
 
 mod upstream;
 pub mod worker;
 
-pub use upstream::{Behaviour, Ledger, Plan, Upstream};
+pub use upstream::{Behaviour, Plan, Stats, Upstream};
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -1,4 +1,5 @@
-//! A stand-in upstream: a real HTTP server that counts what it is asked for.
+//! A simulated upstream: an HTTP server that counts its requests and can misbehave
+//! on demand.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -20,49 +21,50 @@
 use crate::client::Client;
 use crate::error::Result;
 
-/// Time between the first part of a short answer and its end.
-const CUT_AFTER: Duration = Duration::from_millis(50);
-/// Interval of heartbeats.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(400);
-/// Longest wait for an answer to a heartbeat.
-const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay between the body of a truncated answer and the abort of its connection.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(50);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Time limit for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How an upstream answers.
+/// How an upstream answers requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// With the request's method, path and body after the service time.
+    /// Returns the request's method, path and body after the service time.
     Echo,
-    /// It closes the connection without an answer.
+    /// Closes the connection without an answer.
     Close,
-    /// It never answers.
+    /// Never answers.
     Silent,
-    /// Its answer ends before its stated length.
+    /// Aborts the connection before the end of the answer's body.
     Short,
-    /// Its answer carries another request's id.
+    /// Returns another request's id in the answer.
     Crossed,
-    /// Its answer is this many bytes long.
+    /// Returns a body of this many bytes.
     Large(usize),
 }
 
-/// What an upstream has seen.
+/// Counters of an upstream's requests and connections.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    /// Requests running now.
+pub struct Stats {
+    /// Requests currently running.
     pub running: u32,
-    /// Most requests that ran at once.
+    /// Highest number of requests that ran concurrently.
     pub most_running: u32,
-    /// Connections open now.
+    /// Connections currently open.
     pub connections: u32,
-    /// Most connections that were open at once.
+    /// Highest number of concurrently open connections.
     pub most_connections: u32,
-    /// Runs by request id.
+    /// Number of runs by request id.
     pub runs: HashMap<String, u32>,
-    /// Requests begun by team.
+    /// Number of started requests by team.
     pub teams: BTreeMap<String, u64>,
+    /// Running requests by sender.
     by_sender: BTreeMap<String, u32>,
 }
 
-/// A running stand-in upstream.
+/// Handle to a running upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     state: Arc<Inner>,
@@ -80,118 +82,123 @@
     service_time: Mutex<Duration>,
     behaviour: Mutex<Behaviour>,
     leaving: Mutex<bool>,
-    muted: Mutex<bool>,
+    heartbeats_paused: Mutex<bool>,
+    /// `seen` of the latest answer to a heartbeat, returned in the next heartbeat.
     seen: Mutex<Option<String>>,
     counts: bool,
-    ledger: Mutex<Ledger>,
+    stats: Mutex<Stats>,
     token: CancellationToken,
 }
 
-/// What an upstream is.
+/// Identity, capacity and reporting of an upstream.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Name.
+    /// Unique name of the upstream.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone it belongs to.
     pub zone: String,
-    /// Service.
+    /// Name of the service it provides.
     pub service: String,
-    /// Requests that it can run at once.
+    /// Number of requests that may run concurrently, as reported in heartbeats.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Number of connections that may be open at once, as reported in heartbeats.
     pub connections: u32,
-    /// Time for one request.
+    /// Time to serve one request.
     pub service_time: Duration,
-    /// Whether its heartbeats tell what it runs by sender.
+    /// Whether heartbeats report the number of running requests by sender.
     pub counts: bool,
-    /// Port that it listens on; any free one without it.
+    /// Port to listen on; any free port if `None`.
     pub port: Option<u16>,
-    /// Address that it announces; its own without it.
+    /// Address advertised in heartbeats; the listener's address if `None`.
     pub announced: Option<SocketAddr>,
 }
 
 impl Upstream {
-    /// Starts an upstream that announces itself to `entries` in turn.
+    /// Starts an upstream that sends its heartbeats to `entries` in rotation.
     ///
     /// # Errors
     ///
-    /// Fails if no port can be opened.
+    /// Fails if the port cannot be opened.
     pub async fn start(
-        plan: Plan,
+        options: Plan,
         entries: Vec<SocketAddr>,
         platform_token: Option<String>,
         token: CancellationToken,
     ) -> Result<Self> {
-        let listener = TcpListener::bind(("127.0.0.1", plan.port.unwrap_or(0))).await?;
+        let listener = TcpListener::bind(("127.0.0.1", options.port.unwrap_or(0))).await?;
         let state = Arc::new(Inner {
-            name: plan.name,
-            zone: plan.zone,
-            service: plan.service,
-            address: match plan.announced {
+            name: options.name,
+            zone: options.zone,
+            service: options.service,
+            address: match options.announced {
                 Some(address) => address,
                 None => listener.local_addr()?,
             },
-            slots: plan.slots,
-            connections: plan.connections,
+            slots: options.slots,
+            connections: options.connections,
             incarnation: incarnation(),
-            service_time: Mutex::new(plan.service_time),
+            service_time: Mutex::new(options.service_time),
             behaviour: Mutex::new(Behaviour::Echo),
             leaving: Mutex::new(false),
-            muted: Mutex::new(false),
+            heartbeats_paused: Mutex::new(false),
             seen: Mutex::new(None),
-            counts: plan.counts,
-            ledger: Mutex::default(),
+            counts: options.counts,
+            stats: Mutex::default(),
             token,
         });
         let upstream = Self { state };
         tokio::spawn(upstream.clone().serve(listener));
-        tokio::spawn(upstream.clone().announce(entries, platform_token));
+        tokio::spawn(upstream.clone().send_heartbeats(entries, platform_token));
         Ok(upstream)
     }
 
-    /// Returns the address that it announces.
+    /// Returns the address that heartbeats advertise.
     pub fn address(&self) -> SocketAddr {
         self.state.address
     }
 
-    /// Returns its name.
+    /// Returns the name under which it registers.
     pub fn name(&self) -> &str {
         &self.state.name
     }
 
-    /// Changes how it answers.
+    /// Sets how requests received from now on are answered.
     pub fn behave(&self, behaviour: Behaviour) {
         *self.state.behaviour.lock().expect("behaviour lock") = behaviour;
     }
 
-    /// Changes its service time.
+    /// Sets the time to serve a request.
     pub fn set_service_time(&self, time: Duration) {
         *self.state.service_time.lock().expect("time lock") = time;
     }
 
-    /// Says in every heartbeat from now on whether it leaves.
+    /// Sets whether further heartbeats report that the upstream is leaving.
     pub fn leave(&self, leaving: bool) {
         *self.state.leaving.lock().expect("leaving lock") = leaving;
     }
 
-    /// Stops or resumes its heartbeats.
-    pub fn mute(&self, muted: bool) {
-        *self.state.muted.lock().expect("muted lock") = muted;
+    /// Stops or resumes the heartbeats.
+    pub fn set_heartbeats_paused(&self, paused: bool) {
+        *self
+            .state
+            .heartbeats_paused
+            .lock()
+            .expect("heartbeats lock") = paused;
     }
 
-    /// Reads its ledger.
-    pub fn ledger<T>(&self, read: impl FnOnce(&Ledger) -> T) -> T {
-        read(&self.state.ledger.lock().expect("ledger lock"))
+    /// Calls `read` with the current counters.
+    pub fn ledger<T>(&self, read: impl FnOnce(&Stats) -> T) -> T {
+        read(&self.state.stats.lock().expect("stats lock"))
     }
 
-    /// Ends it at once.
+    /// Stops the upstream immediately and closes its connections.
     pub fn kill(&self) {
         self.state.token.cancel();
     }
 
     async fn serve(self, listener: TcpListener) {
         let app = Router::new()
-            .fallback(answer)
+            .fallback(handle)
             .with_state(Arc::clone(&self.state));
         loop {
             let stream = tokio::select! {
@@ -213,23 +220,29 @@
                     _ = connection => {}
                     () = state.token.cancelled() => {}
                 }
-                state.ledger.lock().expect("ledger lock").connections -= 1;
+                state.stats.lock().expect("stats lock").connections -= 1;
             });
         }
     }
 
-    async fn announce(self, entries: Vec<SocketAddr>, platform_token: Option<String>) {
-        let mut ticks = interval(ANNOUNCE_EVERY);
+    async fn send_heartbeats(self, entries: Vec<SocketAddr>, platform_token: Option<String>) {
+        let mut ticks = interval(HEARTBEAT_INTERVAL);
         let mut clients: Vec<Client> = entries
             .into_iter()
-            .map(|entry| Client::new(entry, platform_token.clone(), ANNOUNCE_TIMEOUT))
+            .map(|entry| Client::new(entry, platform_token.clone(), HEARTBEAT_TIMEOUT))
             .collect();
         for turn in 0usize.. {
             tokio::select! {
                 _ = ticks.tick() => {}
                 () = self.state.token.cancelled() => return,
             }
-            if clients.is_empty() || *self.state.muted.lock().expect("muted lock") {
+            if clients.is_empty()
+                || *self
+                    .state
+                    .heartbeats_paused
+                    .lock()
+                    .expect("heartbeats lock")
+            {
                 continue;
             }
             let at = turn % clients.len();
@@ -237,7 +250,7 @@
             let accepted: Result<serde_json::Value> =
                 clients[at].call("POST", "/v1/upstreams", Some(&body)).await;
             match accepted {
-                Ok(answer) => self.state.see(&answer),
+                Ok(answer) => self.state.record_seen(&answer),
                 Err(err) => log::debug!("{}: {err}", self.state.name),
             }
         }
@@ -246,7 +259,7 @@
 
 impl Inner {
     fn heartbeat(&self) -> serde_json::Value {
-        let ledger = self.ledger.lock().expect("ledger lock");
+        let stats = self.stats.lock().expect("stats lock");
         let mut body = serde_json::json!({
             "name": self.name,
             "incarnation": self.incarnation,
@@ -258,25 +271,25 @@
             "leaving": *self.leaving.lock().expect("leaving lock"),
         });
         if self.counts {
-            body["running"] = serde_json::json!(ledger.by_sender);
+            body["running"] = serde_json::json!(stats.by_sender);
             body["seen"] = serde_json::json!(*self.seen.lock().expect("seen lock"));
         }
         body
     }
 
-    fn see(&self, answer: &serde_json::Value) {
+    fn record_seen(&self, answer: &serde_json::Value) {
         let seen = answer["seen"].as_str().map(str::to_owned);
         *self.seen.lock().expect("seen lock") = seen;
     }
 
     fn count_connection(&self) {
-        let mut ledger = self.ledger.lock().expect("ledger lock");
-        ledger.connections += 1;
-        ledger.most_connections = ledger.most_connections.max(ledger.connections);
+        let mut stats = self.stats.lock().expect("stats lock");
+        stats.connections += 1;
+        stats.most_connections = stats.most_connections.max(stats.connections);
     }
 }
 
-/// Counts one running request until it is dropped, also when its caller goes away.
+/// Counts one running request until it is dropped, even if its caller disconnects.
 struct Run {
     state: Arc<Inner>,
     sender: String,
@@ -292,12 +305,12 @@
                 .to_owned()
         };
         let sender = text("x-plantaincross-sender");
-        let mut ledger = state.ledger.lock().expect("ledger lock");
-        ledger.running += 1;
-        ledger.most_running = ledger.most_running.max(ledger.running);
-        *ledger.runs.entry(text("x-request-id")).or_default() += 1;
-        *ledger.teams.entry(text("x-team")).or_default() += 1;
-        *ledger.by_sender.entry(sender.clone()).or_default() += 1;
+        let mut stats = state.stats.lock().expect("stats lock");
+        stats.running += 1;
+        stats.most_running = stats.most_running.max(stats.running);
+        *stats.runs.entry(text("x-request-id")).or_default() += 1;
+        *stats.teams.entry(text("x-team")).or_default() += 1;
+        *stats.by_sender.entry(sender.clone()).or_default() += 1;
         Self {
             state: Arc::clone(state),
             sender,
@@ -307,19 +320,19 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let mut ledger = self.state.ledger.lock().expect("ledger lock");
-        ledger.running -= 1;
-        if let Some(count) = ledger.by_sender.get_mut(&self.sender) {
+        let mut stats = self.state.stats.lock().expect("stats lock");
+        stats.running -= 1;
+        if let Some(count) = stats.by_sender.get_mut(&self.sender) {
             *count -= 1;
         }
-        ledger.by_sender.retain(|_, count| *count > 0);
+        stats.by_sender.retain(|_, count| *count > 0);
     }
 }
 
-async fn answer(State(state): State<Arc<Inner>>, request: Request) -> Response {
+async fn handle(State(state): State<Arc<Inner>>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     let run = Run::begin(&state, &head.headers);
-    let work = tokio::spawn(work(Arc::clone(&state), run));
+    let work = tokio::spawn(simulate_work(Arc::clone(&state), run));
     let behaviour = *state.behaviour.lock().expect("behaviour lock");
     let body = axum::body::to_bytes(body, usize::MAX)
         .await
@@ -341,15 +354,15 @@
             Response::new(Body::empty())
         }
         Behaviour::Short => {
-            let cut = futures_util::stream::once(async {
-                sleep(CUT_AFTER).await;
-                Err(std::io::Error::other("cut"))
+            let abort = futures_util::stream::once(async {
+                sleep(TRUNCATION_DELAY).await;
+                Err(std::io::Error::other("answer truncated"))
             });
-            let part = futures_util::stream::iter([Ok(text)]).chain(cut);
-            Response::new(Body::from_stream(part))
+            let truncated = futures_util::stream::iter([Ok(text)]).chain(abort);
+            Response::new(Body::from_stream(truncated))
         }
         Behaviour::Crossed => Response::new(Body::from(text)),
-        // A panic in a handler closes its connection.
+        // A panic in the handler makes the server close the connection.
         Behaviour::Close => std::panic::resume_unwind(Box::new("closed")),
     };
     let headers = response.headers_mut();
@@ -366,8 +379,9 @@
     response
 }
 
-// The work goes on if the connection closes, as it does on a real upstream.
-async fn work(state: Arc<Inner>, run: Run) {
+// Runs as its own task, so that the work continues if the caller closes the connection,
+// as on a real upstream.
+async fn simulate_work(state: Arc<Inner>, run: Run) {
     let time = *state.service_time.lock().expect("time lock");
     sleep(time).await;
     drop(run);
