--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -266,7 +266,7 @@
 fn first_fit_decreasing(workers: usize, sizes: &[Size]) -> u64 {
     let total = worker_size(0, 0);
     let mut sizes = sizes.to_vec();
-    sizes.sort_by(|a, b| b.dominant_of(total).total_cmp(&a.dominant_of(total)));
+    sizes.sort_by(|a, b| b.dominant_share(total).total_cmp(&a.dominant_share(total)));
     first_fit(workers, &sizes)
 }
 
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -30,7 +30,7 @@
 };
 use crate::core::plane::state::{Command, State};
 use crate::core::registry::InstanceId;
-use crate::core::roster::{self, Place, Wanted};
+use crate::core::roster::{self, Constraints, Location};
 use crate::core::time::Moment;
 use crate::error::Result;
 use crate::net::{Mesh, Notice};
@@ -377,22 +377,22 @@
             return;
         }
         self.next_voter_review_at = now + VOTER_REVIEW_INTERVAL;
-        let place = |peer: &Peer| Place {
+        let place = |peer: &Peer| Location {
             name: peer.name.clone(),
             zone: peer.zone.clone(),
         };
-        let mut places: BTreeMap<u64, Place> = self
+        let mut places: BTreeMap<u64, Location> = self
             .peers
             .values()
             .filter(|p| p.durable)
             .map(|p| (p.replica, place(p)))
             .collect();
-        let own = Place {
+        let own = Location {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
         };
         places.insert(self.identity.replica, own);
-        let wanted = Wanted {
+        let wanted = Constraints {
             voters: self.settings.voters,
             replace_after: self.settings.replace_after,
         };
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -8,7 +8,7 @@
 
 use super::{block_on, print};
 use crate::client::{Client, read};
-use crate::core::control::JobLine;
+use crate::core::control::JobSummary;
 use crate::core::fleet::Explanation;
 use crate::error::{Error, Kind, Result};
 use crate::http::{ShownJob, Submitted};
@@ -138,7 +138,7 @@
 }
 
 async fn list(caller: &Caller) -> Result<()> {
-    let jobs: Vec<JobLine> = caller.client().call("GET", "/v1/jobs", None::<&()>).await?;
+    let jobs: Vec<JobSummary> = caller.client().call("GET", "/v1/jobs", None::<&()>).await?;
     for job in jobs {
         print(format_args!(
             "{}\t{}\t{}\t{}\t{}/{}\t{}",
--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::core::allocator::ALLOTMENT_TERM;
-use crate::core::escrow::Cell;
+use crate::core::escrow::ResourceId;
 use crate::core::gate::{Announcement, Gate, SourceKey, cell_of};
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
@@ -21,8 +21,8 @@
 /// Initial balances that are reported when accounts are reopened.
 #[derive(Clone, Debug, Default)]
 struct OpeningBalances {
-    slots: Vec<(Cell, u64)>,
-    units: Vec<(Cell, u64)>,
+    slots: Vec<(ResourceId, u64)>,
+    units: Vec<(ResourceId, u64)>,
     kept_idle: bool,
 }
 
@@ -37,8 +37,8 @@
     number: u64,
     received: u64,
     sent_at: Moment,
-    unacked: BTreeMap<Cell, (u64, u64)>,
-    acked: BTreeMap<Cell, u64>,
+    unacked: BTreeMap<ResourceId, (u64, u64)>,
+    acked: BTreeMap<ResourceId, u64>,
     applied: u64,
 }
 
@@ -160,7 +160,7 @@
         source.applied = source.applied.max(allotment.applied);
         gate.renew(source.key, Moment(allotment.sent_at) + ALLOTMENT_TERM);
         for balance in &allotment.slots {
-            gate.receive_slots(Cell(balance.cell), balance.given);
+            gate.receive_slots(ResourceId(balance.cell), balance.given);
         }
         if source.local {
             gate.receive_unit_balances(&allotment.units);
@@ -238,14 +238,14 @@
                 .collect();
             return report;
         }
-        let slots: Vec<(Cell, u64)> = gate
+        let slots: Vec<(ResourceId, u64)> = gate
             .slot_accounts(self.key)
             .into_iter()
             .map(|(cell, account)| (cell, account.returned))
             .collect();
         report.slots = self.changed_balances(&slots);
         if self.local {
-            let units: Vec<(Cell, u64)> = gate
+            let units: Vec<(ResourceId, u64)> = gate
                 .unit_accounts()
                 .into_iter()
                 .map(|(cell, account)| (cell, account.returned))
@@ -255,7 +255,7 @@
         report
     }
 
-    fn changed_balances(&mut self, counters: &[(Cell, u64)]) -> Vec<wire::Balance> {
+    fn changed_balances(&mut self, counters: &[(ResourceId, u64)]) -> Vec<wire::Balance> {
         let mut balances = Vec::new();
         for &(cell, returned) in counters {
             if self.acked.get(&cell).copied().unwrap_or(0) == returned {
@@ -320,7 +320,7 @@
         .collect()
 }
 
-const fn opening_balance(cell: Cell, held: u64) -> wire::Balance {
+const fn opening_balance(cell: ResourceId, held: u64) -> wire::Balance {
     wire::Balance {
         cell: cell.0,
         given: held,
--- a/src/core/allocator/division.rs
+++ b/src/core/allocator/division.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::{Allocator, DIVISION_INTERVAL, Holder, TASK_HOLDER};
-use crate::core::escrow::Cell;
+use crate::core::escrow::ResourceId;
 use crate::core::registry::InstanceId;
-use crate::core::share::{Claim, Claimant, divide, round_down, targets};
+use crate::core::share::{Claimant, UnitClaimant, divide, round_down, targets};
 use crate::core::time::Moment;
 
 /// Target and present allotment of one holder.
@@ -65,7 +65,7 @@
     }
 
     fn divide_slots(&mut self, service: &str) {
-        let resources: Vec<Cell> = self
+        let resources: Vec<ResourceId> = self
             .upstreams
             .iter()
             .filter(|(_, h)| h.announcement().service == service && h.is_usable())
@@ -82,12 +82,12 @@
             }
         }
         let demands = self.slot_demands(service, capacity);
-        let claims: Vec<Claim> = self
+        let claims: Vec<UnitClaimant> = self
             .open_holders()
-            .map(|(id, h)| Claim {
+            .map(|(id, h)| UnitClaimant {
                 weight: 1,
                 demand: demands.get(&id).copied().unwrap_or(0),
-                standing: h.local && !h.leaving,
+                takes_surplus: h.local && !h.leaving,
             })
             .collect();
         let ids: Vec<InstanceId> = self.open_holders().map(|(id, _)| id).collect();
@@ -149,7 +149,7 @@
         shares.into_keys().zip(units).collect()
     }
 
-    fn give_slots(&mut self, resources: &[Cell], allocations: &[Allocation]) {
+    fn give_slots(&mut self, resources: &[ResourceId], allocations: &[Allocation]) {
         let count = resources.len();
         // Each holder starts at a different upstream, to spread the load.
         for (index, allocation) in allocations.iter().enumerate() {
@@ -181,7 +181,7 @@
         }
     }
 
-    fn mark_slots_dirty(&mut self, id: InstanceId, resource: Cell) {
+    fn mark_slots_dirty(&mut self, id: InstanceId, resource: ResourceId) {
         let holder = self.holders.get_mut(&id).expect("open holder");
         holder
             .dirty_slots
@@ -195,9 +195,9 @@
             issuer.accounts().map(|(id, a)| (id, a.balance())).collect();
         let capacity = issuer.capacity().saturating_sub(self.units[team].recalled);
         let mut ids: Vec<InstanceId> = self.open_holders().map(|(id, _)| id).collect();
-        let mut claims: Vec<Claim> = self
+        let mut claims: Vec<UnitClaimant> = self
             .open_holders()
-            .map(|(_, h)| Claim {
+            .map(|(_, h)| UnitClaimant {
                 weight: 1,
                 demand: h
                     .unit_demands()
@@ -205,15 +205,15 @@
                     .filter(|d| d.team == team)
                     .map(|d| d.waiting + d.running)
                     .sum(),
-                standing: h.local && !h.leaving,
+                takes_surplus: h.local && !h.leaving,
             })
             .collect();
         // Tasks reserve their units themselves; here these are only kept free.
         ids.push(TASK_HOLDER);
-        claims.push(Claim {
+        claims.push(UnitClaimant {
             weight: 1,
             demand: self.units[team].task_demand,
-            standing: false,
+            takes_surplus: false,
         });
         let mut allocations = allocations(capacity, &ids, &claims, &held);
         let task_allocation = allocations.pop().expect("just added");
@@ -267,7 +267,7 @@
 fn allocations(
     capacity: u64,
     ids: &[InstanceId],
-    claims: &[Claim],
+    claims: &[UnitClaimant],
     held: &BTreeMap<InstanceId, u64>,
 ) -> Vec<Allocation> {
     ids.iter()
--- a/src/core/allocator/expiry.rs
+++ b/src/core/allocator/expiry.rs
@@ -6,7 +6,7 @@
 use super::{
     ALLOTMENT_TERM, Allocator, HEARTBEAT_TIMEOUT, LostHolder, UPSTREAM_RETENTION, Upstream,
 };
-use crate::core::escrow::Cell;
+use crate::core::escrow::ResourceId;
 use crate::core::registry::InstanceId;
 use crate::core::time::{Moment, with_clock_margin};
 
@@ -48,10 +48,10 @@
         let retired = self.retired.values_mut();
         let upstreams = self.upstreams.values_mut().map(Upstream::issuer_mut);
         for issuer in upstreams.chain(retired) {
-            issuer.forget(id);
+            issuer.close(id);
         }
         for units in self.units.values_mut() {
-            units.issuer.forget(id);
+            units.issuer.close(id);
         }
     }
 
@@ -93,7 +93,7 @@
     pub(super) fn reconcile_running(
         &mut self,
         now: Moment,
-        resource: Cell,
+        resource: ResourceId,
         running: &BTreeMap<InstanceId, u32>,
         counted_after: Option<Moment>,
     ) {
@@ -111,7 +111,7 @@
             }
             match running.get(&id) {
                 Some(&count) => upstream.issuer_mut().adopt(id, u64::from(count)),
-                None => upstream.issuer_mut().forget(id),
+                None => upstream.issuer_mut().close(id),
             }
         }
         if upstream.is_reconciled() || !settled {
--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -11,7 +11,7 @@
 
 pub use host::{Heartbeat, Seen, Upstream};
 
-use crate::core::escrow::{Cell, Issuer};
+use crate::core::escrow::{Issuer, ResourceId};
 use crate::core::fleet::WORKER_LEASE;
 use crate::core::gate::{Announcement, cell_of};
 use crate::core::registry::InstanceId;
@@ -58,9 +58,9 @@
     demands: Vec<wire::Demand>,
     /// Slots, units and upstreams with changes that the holder has not acknowledged, each
     /// with the number of the first allotment that carries its change.
-    dirty_slots: BTreeMap<Cell, u64>,
+    dirty_slots: BTreeMap<ResourceId, u64>,
     dirty_units: BTreeMap<String, u64>,
-    dirty_upstreams: BTreeMap<Cell, u64>,
+    dirty_upstreams: BTreeMap<ResourceId, u64>,
     recall_slots: BTreeMap<String, u64>,
     recall_units: BTreeMap<String, u64>,
     /// Whether an allotment is to be sent before the next report.
@@ -95,12 +95,12 @@
     leader_since: Moment,
     first_term: bool,
     run_limit: Duration,
-    upstreams: BTreeMap<Cell, Upstream>,
-    resources_by_name: BTreeMap<String, Cell>,
+    upstreams: BTreeMap<ResourceId, Upstream>,
+    resources_by_name: BTreeMap<String, ResourceId>,
     /// Accounts of upstreams that were removed or have not announced themselves yet.
-    retired: BTreeMap<Cell, Issuer<InstanceId>>,
+    retired: BTreeMap<ResourceId, Issuer<InstanceId>>,
     units: BTreeMap<String, Units>,
-    teams_by_resource: BTreeMap<Cell, String>,
+    teams_by_resource: BTreeMap<ResourceId, String>,
     holders: BTreeMap<InstanceId, Holder>,
     lost_holders: BTreeMap<InstanceId, LostHolder>,
     epochs: u64,
@@ -310,7 +310,7 @@
     }
 
     /// Retires the previous incarnation of an upstream that was restarted.
-    fn supersede(&mut self, now: Moment, old: Cell, new: &Announcement) -> Result<()> {
+    fn supersede(&mut self, now: Moment, old: ResourceId, new: &Announcement) -> Result<()> {
         let Some(upstream) = self.upstreams.get_mut(&old) else {
             return Ok(());
         };
@@ -357,7 +357,7 @@
         self.leader_since + with_clock_margin(ALLOTMENT_TERM)
     }
 
-    fn mark_upstream_dirty(&mut self, resource: Cell) {
+    fn mark_upstream_dirty(&mut self, resource: ResourceId) {
         for holder in self.holders.values_mut() {
             holder
                 .dirty_upstreams
@@ -380,7 +380,7 @@
     pub returned: u64,
 }
 
-const fn balance(resource: Cell, given: u64, returned: u64) -> wire::Balance {
+const fn balance(resource: ResourceId, given: u64, returned: u64) -> wire::Balance {
     wire::Balance {
         cell: resource.0,
         given,
--- a/src/core/control/claims.rs
+++ b/src/core/control/claims.rs
@@ -84,7 +84,7 @@
             attempt.id,
             attempt.body,
             attempt.owner,
-            attempt.minted_age,
+            attempt.generated_age,
             retention,
         );
         if verdict != Verdict::Granted {
@@ -288,7 +288,7 @@
             self.replication.recovery = None;
             if !is_complete {
                 let zone = self.identity.zone.clone();
-                self.claims_of(&zone).lose_memory(now);
+                self.claims_of(&zone).mark_incomplete(now);
             }
         }
         if now >= self.replication.next_sync_at {
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 
 pub use query::{Answer, PeerStatus, Query, Status, Target, UpstreamStat};
-pub use tasks::JobLine;
+pub use tasks::JobSummary;
 
 use crate::core::agent::Agent;
 use crate::core::allocator::Allocator;
@@ -264,7 +264,7 @@
     }
 
     /// Returns the moment until which keys count as verified by the root group.
-    pub fn root_vouches_until(&self) -> Moment {
+    pub fn root_verified_until(&self) -> Moment {
         let freshness = self.registry.config.cell.freshness;
         let as_of = self.fresh.as_of();
         as_of.map_or(Moment::ZERO, |as_of| as_of + freshness)
@@ -273,7 +273,7 @@
     /// Returns the moment until which keys whose home is this zone count as verified
     /// by its leader. Zero while this instance has not applied all log entries that
     /// the leader had applied.
-    pub fn zone_vouches_until(&self) -> Moment {
+    pub fn zone_verified_until(&self) -> Moment {
         if self.registry.applied < self.agent.zone_applied() {
             return Moment::ZERO;
         }
@@ -289,7 +289,7 @@
     }
 
     /// Returns whether `peer` is connected.
-    pub fn knows(&self, peer: InstanceId) -> bool {
+    pub fn has_peer(&self, peer: InstanceId) -> bool {
         self.peers.contains_key(&peer)
     }
 
@@ -328,7 +328,7 @@
     }
 
     /// Sends and applies the contents of `ready` after it has been stored.
-    pub fn stored(&mut self, now: Moment, ready: Ready) -> Vec<Effect> {
+    pub fn advance(&mut self, now: Moment, ready: Ready) -> Vec<Effect> {
         self.replica.persisted(now);
         for raft in ready.messages {
             self.send_raft(now, raft);
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::tasks::JobLine;
+use super::tasks::JobSummary;
 use super::{Control, Origin};
 use crate::core::allocator::{Heartbeat, Seen};
 use crate::core::claim;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// This instance.
-    Here,
+    Local,
     /// The leader of the root group.
     Root,
     /// The leader of a zone.
@@ -71,7 +71,7 @@
     /// The query was carried out.
     Done,
     /// The heartbeat was accepted.
-    Heard(Seen),
+    HeartbeatAccepted(Seen),
     /// Outcome of the applied command.
     Outcome(Outcome),
     /// Units of team limits that the zone should return.
@@ -96,7 +96,7 @@
     /// The requested job.
     Job(Box<Job>),
     /// Jobs, newest first.
-    Jobs(Vec<JobLine>),
+    Jobs(Vec<JobSummary>),
     /// Reasons why a job's tasks wait.
     Explanation(fleet::Explanation),
     /// The query failed.
@@ -176,7 +176,7 @@
 
     pub(super) fn route(&mut self, now: Moment, origin: Origin, target: &Target, query: Query) {
         let to = match target {
-            Target::Here => Some(self.identity.id),
+            Target::Local => Some(self.identity.id),
             Target::Root => self.root_leader(),
             Target::Zone(zone) => self.zone_leader(zone),
             Target::Instance(id) => Some(*id),
--- a/src/core/control/root.rs
+++ b/src/core/control/root.rs
@@ -9,7 +9,7 @@
 use super::{Answer, Control, Effect, Origin, Query, Target};
 use crate::core::lease::LEASE_DURATION;
 use crate::core::registry::{Command, InstanceId, Member, Transfer};
-use crate::core::share::{Claim, targets};
+use crate::core::share::{UnitClaimant, targets};
 use crate::core::time::{Moment, with_clock_margin};
 use crate::error::{Error, Kind};
 use crate::event::Event;
@@ -412,17 +412,17 @@
         now: Moment,
         zone_demand: &ZoneDemand,
         team_demand: &TeamDemand,
-    ) -> Vec<Claim> {
+    ) -> Vec<UnitClaimant> {
         let zones = self.registry.zone_names.iter();
         zones
-            .map(|zone| Claim {
+            .map(|zone| UnitClaimant {
                 weight: 1,
                 demand: if *zone == zone_demand.zone {
                     team_demand.demand
                 } else {
                     self.recorded_demand(now, zone, &team_demand.team)
                 },
-                standing: true,
+                takes_surplus: true,
             })
             .collect()
     }
--- a/src/core/control/tasks.rs
+++ b/src/core/control/tasks.rs
@@ -24,7 +24,7 @@
 /// Summary of a job in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct JobLine {
+pub struct JobSummary {
     /// ID of the job.
     pub id: Id,
     /// Team that submitted the job.
@@ -230,14 +230,14 @@
     }
 
     pub(super) fn list_jobs(&self, team: Option<&str>) -> Answer {
-        let jobs: Vec<JobLine> = self
+        let jobs: Vec<JobSummary> = self
             .registry
             .jobs
             .iter()
             .rev()
             .filter(|job| team.is_none_or(|team| team == job.team))
             .take(LISTED_JOBS_MAX)
-            .map(|job| JobLine {
+            .map(|job| JobSummary {
                 id: job.id,
                 team: job.team.clone(),
                 name: job.spec.name.clone(),
@@ -267,5 +267,5 @@
         .fold(crate::core::job::Size::default(), |sum, w| {
             sum.plus(w.reserved)
         });
-    1_000 - (reserved.dominant_of(total).min(1.0) * 1_000.0) as u64
+    1_000 - (reserved.dominant_share(total).min(1.0) * 1_000.0) as u64
 }
--- a/src/core/control/zone.rs
+++ b/src/core/control/zone.rs
@@ -271,7 +271,7 @@
         match allocator.announce(now, heartbeat) {
             Ok(events) => {
                 self.effects.extend(events.into_iter().map(Effect::Event));
-                Answer::Heard(Seen { term, at: now })
+                Answer::HeartbeatAccepted(Seen { term, at: now })
             }
             Err(err) => Answer::Failed(err),
         }
--- a/src/core/escrow.rs
+++ b/src/core/escrow.rs
@@ -13,7 +13,7 @@
 /// Identifies a divided capacity: the slots of an upstream or the limit of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Cell(pub u64);
+pub struct ResourceId(pub u64);
 
 /// The two counters of one holder of a resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -121,7 +121,7 @@
     }
 
     /// Removes the account of a holder that can no longer use its units.
-    pub fn forget(&mut self, holder: H) {
+    pub fn close(&mut self, holder: H) {
         self.accounts.remove(&holder);
     }
 }
@@ -174,7 +174,7 @@
     }
 
     /// Starts the use of one idle unit. Returns false if there is none.
-    pub const fn take(&mut self) -> bool {
+    pub const fn acquire(&mut self) -> bool {
         if self.idle() == 0 {
             return false;
         }
@@ -183,7 +183,7 @@
     }
 
     /// Ends the use of one unit.
-    pub const fn put(&mut self) {
+    pub const fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -320,7 +320,7 @@
     pub fn dominant_shares(&self) -> BTreeMap<String, f64> {
         self.teams
             .iter()
-            .map(|(name, team)| (name.clone(), team.running.dominant_of(self.total)))
+            .map(|(name, team)| (name.clone(), team.running.dominant_share(self.total)))
             .collect()
     }
 
@@ -427,11 +427,12 @@
         let team = self.team_mut(name);
         let elapsed = now.since(team.usage_at).as_secs_f64();
         let decay = 0.5f64.powf(elapsed / USAGE_HALF_LIFE.as_secs_f64());
-        let current = team.running.dominant_of(total);
+        let current = team.running.dominant_share(total);
         team.usage = team.usage * decay + current * (1.0 - decay);
         team.usage_at = now;
         team.running = change(team.running);
-        let level = (team.running.dominant_of(total) + team.usage) / f64::from(team.share.max(1));
+        let level =
+            (team.running.dominant_share(total) + team.usage) / f64::from(team.share.max(1));
         let old = team.score;
         // The bit patterns of non-negative floats sort like their values.
         team.score = level.max(0.0).to_bits();
--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -5,7 +5,7 @@
 use super::{
     Announcement, DEFAULT_QUEUE_LIMIT, Gate, SourceKey, TeamKey, Upstream, UpstreamKey, cell_of,
 };
-use crate::core::escrow::{Account, Cell, Holding};
+use crate::core::escrow::{Account, Holding, ResourceId};
 use crate::core::time::Moment;
 use crate::wire::Balance;
 
@@ -68,7 +68,7 @@
     }
 
     /// Sets whether an upstream is leaving. A leaving one is sent no new requests.
-    pub fn set_leaving(&mut self, resource: Cell, leaving: bool) {
+    pub fn set_leaving(&mut self, resource: ResourceId, leaving: bool) {
         if let Some(&key) = self.resources.get(&resource) {
             if let Some(upstream) = self.upstreams.get_mut(&key) {
                 upstream.leaving = leaving;
@@ -101,7 +101,7 @@
     }
 
     /// Records the total of slots of an upstream given since its account was opened.
-    pub fn receive_slots(&mut self, resource: Cell, given: u64) {
+    pub fn receive_slots(&mut self, resource: ResourceId, given: u64) {
         let Some(&key) = self.resources.get(&resource) else {
             return;
         };
@@ -121,9 +121,10 @@
         }
         // Balances may arrive before the configuration that adds their team.
         for balance in balances {
-            self.pending_units.insert(Cell(balance.cell), balance.given);
+            self.pending_units
+                .insert(ResourceId(balance.cell), balance.given);
         }
-        let known: BTreeSet<Cell> = self.teams.iter().map(|t| t.resource).collect();
+        let known: BTreeSet<ResourceId> = self.teams.iter().map(|t| t.resource).collect();
         self.pending_units
             .retain(|resource, _| !known.contains(resource));
     }
@@ -131,7 +132,7 @@
     /// Reopens all slot accounts of `source` and returns the opening balances. Idle
     /// slots are kept only if the allotment has not expired, since another entry
     /// instance may hold them after that; slots in use are always kept.
-    pub fn reopen_slots(&mut self, now: Moment, source: SourceKey) -> Vec<(Cell, u64)> {
+    pub fn reopen_slots(&mut self, now: Moment, source: SourceKey) -> Vec<(ResourceId, u64)> {
         let keep = now < self.expiry(source);
         self.retired.retain(|_, (of, _)| *of != source);
         let mut opening = Vec::new();
@@ -146,7 +147,7 @@
     }
 
     /// Reopens all team unit accounts by the rules of [`Gate::reopen_slots`].
-    pub fn reopen_units(&mut self, now: Moment) -> Vec<(Cell, u64)> {
+    pub fn reopen_units(&mut self, now: Moment) -> Vec<(ResourceId, u64)> {
         let keep = now < self.expiry(self.team_source);
         self.pending_units.clear();
         let mut opening = Vec::new();
@@ -202,7 +203,7 @@
     }
 
     /// Returns all idle slots of one upstream.
-    pub fn return_upstream(&mut self, resource: Cell) {
+    pub fn return_upstream(&mut self, resource: ResourceId) {
         if let Some(&key) = self.resources.get(&resource) {
             self.change_holding(key, |h| {
                 h.give_back(u64::MAX);
@@ -229,7 +230,7 @@
     }
 
     /// Returns the slot accounts of `source`.
-    pub fn slot_accounts(&self, source: SourceKey) -> Vec<(Cell, Account)> {
+    pub fn slot_accounts(&self, source: SourceKey) -> Vec<(ResourceId, Account)> {
         self.upstreams
             .values()
             .filter(|u| u.source == source)
@@ -238,7 +239,7 @@
     }
 
     /// Returns the team unit accounts.
-    pub fn unit_accounts(&self) -> Vec<(Cell, Account)> {
+    pub fn unit_accounts(&self) -> Vec<(ResourceId, Account)> {
         self.teams
             .iter()
             .map(|t| (t.resource, t.holding.account()))
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -20,7 +20,7 @@
 };
 pub use upstream::{Announcement, Index, Upstream, cell_of};
 
-use crate::core::escrow::{Account, Cell, Holding};
+use crate::core::escrow::{Account, Holding, ResourceId};
 use crate::core::time::Moment;
 use crate::error::Kind;
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct Team {
     name: String,
-    resource: Cell,
+    resource: ResourceId,
     share: u32,
     holding: Holding,
     completed: u64,
@@ -59,11 +59,11 @@
     services: Vec<Service>,
     service_names: HashMap<String, ServiceKey>,
     upstreams: BTreeMap<UpstreamKey, Upstream>,
-    resources: HashMap<Cell, UpstreamKey>,
+    resources: HashMap<ResourceId, UpstreamKey>,
     /// Accounts of removed upstreams.
-    retired: HashMap<Cell, (SourceKey, Account)>,
+    retired: HashMap<ResourceId, (SourceKey, Account)>,
     /// Units given to teams that have not been added yet.
-    pending_units: HashMap<Cell, u64>,
+    pending_units: HashMap<ResourceId, u64>,
     next_upstream: u32,
     expiries: Vec<Moment>,
     team_source: SourceKey,
@@ -311,7 +311,7 @@
     pub fn finish(&mut self, now: Moment, assignment: Assignment, completion: Exchange) {
         let took = now.since(assignment.at);
         let team = &mut self.teams[assignment.team.0 as usize];
-        team.holding.put();
+        team.holding.release();
         let share = team.share;
         if completion != Exchange::Unsent {
             team.slot_time += took;
@@ -341,7 +341,7 @@
         let Some(upstream) = self.upstreams.get_mut(&key) else {
             return;
         };
-        upstream.holding.put();
+        upstream.holding.release();
         match completion {
             Exchange::Answered => upstream.record_success(),
             Exchange::Failed => upstream.record_failure(now),
@@ -370,9 +370,9 @@
         }
         let upstream = self.choose_upstream(now, service, avoid)?;
         let share = self.teams[team.0 as usize].share;
-        self.teams[team.0 as usize].holding.take();
+        self.teams[team.0 as usize].holding.acquire();
         self.change_holding(upstream, |h| {
-            h.take();
+            h.acquire();
         });
         let state = &mut self.services[service.0 as usize];
         let expected = state.queue.estimate(now);
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{ServiceKey, SourceKey, UpstreamKey};
-use crate::core::escrow::{Cell, Holding};
+use crate::core::escrow::{Holding, ResourceId};
 use crate::core::time::Moment;
 
 /// Suspension of an upstream after one failed exchange; doubles with each further one.
@@ -41,7 +41,7 @@
 pub struct Upstream {
     /// Latest announcement.
     pub announcement: Announcement,
-    resource: Cell,
+    resource: ResourceId,
     /// Key of the service that it provides.
     pub service: ServiceKey,
     /// Zone whose leader allots its slots.
@@ -96,7 +96,7 @@
     }
 
     /// Returns the identifier under which its slots are allotted.
-    pub const fn resource(&self) -> Cell {
+    pub const fn resource(&self) -> ResourceId {
         self.resource
     }
 
@@ -123,7 +123,7 @@
 
 /// Returns the identifier under which the slots of one incarnation of an upstream are
 /// allotted.
-pub fn cell_of(announcement: &Announcement) -> Cell {
+pub fn cell_of(announcement: &Announcement) -> ResourceId {
     let name = format!(
         "{}/{}/{}",
         announcement.zone, announcement.name, announcement.incarnation
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -12,7 +12,7 @@
 /// Maximum number of ended jobs that are kept.
 const ENDED_JOBS_MAX: usize = 5_000;
 /// Maximum number of tasks in one job.
-pub const TASKS_MAX: u32 = 20_000;
+pub const TASKS_PER_JOB_MAX: u32 = 20_000;
 
 /// Identifies a job.
 #[derive(
@@ -87,7 +87,7 @@
 
     /// Returns the dominant share: the largest fraction of `total` that this size
     /// takes in any dimension.
-    pub fn dominant_of(self, total: Self) -> f64 {
+    pub fn dominant_share(self, total: Self) -> f64 {
         let part = |need: u64, all: u64| {
             if all == 0 {
                 0.0
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns whether this instance is the appointed leader.
-    pub fn is_named(&self) -> bool {
+    pub fn is_appointed(&self) -> bool {
         self.leadership
             .as_ref()
             .is_some_and(|leadership| leadership.leader == self.member.id)
@@ -133,12 +133,12 @@
 
     /// Returns whether this instance may act as leader at `now`.
     pub fn may_act(&self, now: Moment) -> bool {
-        self.is_named() && now < self.authority_until()
+        self.is_appointed() && now < self.authority_until()
     }
 
     /// Returns the moment until which this instance may act as leader.
     pub fn authority_until(&self) -> Moment {
-        if !self.is_named() || self.resigned {
+        if !self.is_appointed() || self.resigned {
             return Moment::ZERO;
         }
         self.root_lease_until.max(self.promises_until())
@@ -177,7 +177,7 @@
             return Vec::new();
         }
         self.next_action_at = now + RENEW_EVERY;
-        if self.is_named() {
+        if self.is_appointed() {
             return self.renew(now, peers);
         }
         self.maybe_campaign(now, root_heard)
@@ -251,7 +251,7 @@
 
     /// Handles the root group's reply to a renewal sent at `sent_at`.
     pub fn handle_lease_reply(&mut self, term: u64, sent_at: Moment, granted: bool) {
-        if granted && self.is_named() && term == self.term() {
+        if granted && self.is_appointed() && term == self.term() {
             self.root_lease_until = self.root_lease_until.max(sent_at + LEASE_DURATION);
         }
     }
@@ -264,7 +264,7 @@
         sent_at: Moment,
         granted: bool,
     ) {
-        if !self.is_named() || term != self.term() {
+        if !self.is_appointed() || term != self.term() {
             return;
         }
         if granted {
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -29,7 +29,7 @@
 
 impl Budget {
     /// Records a success, which adds a tenth of a retry to the budget.
-    pub fn earn(&mut self) {
+    pub fn record_success(&mut self) {
         self.milli = (self.milli + RETRY_MILLI_PER_SUCCESS).min(BUDGET_CAP_MILLI);
     }
 
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -14,7 +14,7 @@
 
 /// Name and zone of a replica's instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Name of the replica's instance.
     pub name: String,
     /// Availability zone.
@@ -23,7 +23,7 @@
 
 /// Number of voters and the time after which a silent one is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct Constraints {
     /// Intended number of voters, which must be odd.
     pub voters: usize,
     /// Silence after which a voter is replaced.
@@ -38,8 +38,8 @@
 pub fn next_voters(
     now: Moment,
     replica: &Replica,
-    places: &BTreeMap<u64, Place>,
-    wanted: Wanted,
+    places: &BTreeMap<u64, Location>,
+    wanted: Constraints,
 ) -> Option<Vec<Voter>> {
     let voters = replica.voters();
     let is_voter = |id: u64| voters.iter().any(|v| v.replica == id);
--- a/src/core/share.rs
+++ b/src/core/share.rs
@@ -50,18 +50,18 @@
 
 /// One claimant of a capacity in whole units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Claim {
+pub struct UnitClaimant {
     /// Relative weight; 0 counts as 1.
     pub weight: u64,
     /// Units that the claimant could use now.
     pub demand: u64,
     /// Whether the claimant also gets a part of the units that nobody demands.
-    pub standing: bool,
+    pub takes_surplus: bool,
 }
 
 /// Divides `capacity` in whole units: the demands by weighted max-min fairness, then
 /// the surplus evenly among the claimants that take part in it.
-pub fn targets(capacity: u64, claimants: &[Claim]) -> Vec<u64> {
+pub fn targets(capacity: u64, claimants: &[UnitClaimant]) -> Vec<u64> {
     let demands: Vec<Claimant> = claimants
         .iter()
         .map(|claimant| Claimant {
@@ -72,7 +72,7 @@
     let mut units = round_down(capacity, &divide(capacity as f64, &demands));
     let surplus_claimants = claimants
         .iter()
-        .filter(|claimant| claimant.standing)
+        .filter(|claimant| claimant.takes_surplus)
         .count() as u64;
     let surplus = capacity.saturating_sub(units.iter().sum());
     if surplus_claimants == 0 {
@@ -80,7 +80,7 @@
     }
     let (each, mut odd) = (surplus / surplus_claimants, surplus % surplus_claimants);
     for (unit, claimant) in units.iter_mut().zip(claimants) {
-        if claimant.standing {
+        if claimant.takes_surplus {
             *unit += each + u64::from(odd > 0);
             odd = odd.saturating_sub(1);
         }
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -186,7 +186,7 @@
                 return false;
             }
             let ready = self.backlog.remove(0);
-            let effects = self.control.stored(self.traffic.clock.now(), ready);
+            let effects = self.control.advance(self.traffic.clock.now(), ready);
             self.apply_effects(effects);
         }
         true
@@ -264,8 +264,8 @@
             );
             self.traffic.view.store(Arc::new(view));
         }
-        let root = self.control.root_vouches_until();
-        let zone = self.control.zone_vouches_until();
+        let root = self.control.root_verified_until();
+        let zone = self.control.zone_verified_until();
         self.traffic.set_verified_until(root, zone);
     }
 }
--- a/src/http/jobs.rs
+++ b/src/http/jobs.rs
@@ -10,9 +10,9 @@
 use super::operators::is_operator;
 use super::platform::parse;
 use super::reply::{ErrorResponse, json};
-use crate::core::control::{Answer, JobLine, Query, Target};
+use crate::core::control::{Answer, JobSummary, Query, Target};
 use crate::core::fleet::Explanation;
-use crate::core::job::{Id, Job, Spec, State as JobState, TASKS_MAX};
+use crate::core::job::{Id, Job, Spec, State as JobState, TASKS_PER_JOB_MAX};
 use crate::core::registry::{Command, Outcome};
 use crate::error::{Error, Kind, Result};
 
@@ -94,10 +94,10 @@
     if !crate::config::is_name(&spec.name) {
         return bad("the job needs a name of letters, digits, `-`, `_` or `.`");
     }
-    if spec.tasks == 0 || spec.tasks > TASKS_MAX {
+    if spec.tasks == 0 || spec.tasks > TASKS_PER_JOB_MAX {
         return Err(Error::new(
             Kind::BadRequest,
-            format!("tasks must be from 1 to {TASKS_MAX}"),
+            format!("tasks must be from 1 to {TASKS_PER_JOB_MAX}"),
         ));
     }
     if spec.size.cpu_milli == 0 || spec.size.memory_mb == 0 {
@@ -154,7 +154,7 @@
     let viewer = viewer(app, headers)?;
     // The local replica may lag behind: a submitter can ask for its job before the entry
     // is applied here.
-    let local = app.node.ask(Target::Here, Query::Job(Id(id))).await;
+    let local = app.node.ask(Target::Local, Query::Job(Id(id))).await;
     let answer = match local {
         Ok(answer) => answer,
         Err(_) => app.node.ask(Target::Root, Query::Job(Id(id))).await?,
@@ -183,8 +183,8 @@
 pub async fn list(State(app): State<App>, headers: HeaderMap) -> Response {
     let listed = async {
         let viewer = viewer(&app, &headers)?;
-        match app.node.ask(Target::Here, Query::Jobs(viewer)).await? {
-            Answer::Jobs(jobs) => Ok::<Vec<JobLine>, Error>(jobs),
+        match app.node.ask(Target::Local, Query::Jobs(viewer)).await? {
+            Answer::Jobs(jobs) => Ok::<Vec<JobSummary>, Error>(jobs),
             _ => Err(Kind::Internal.into()),
         }
     };
--- a/src/http/operators.rs
+++ b/src/http/operators.rs
@@ -233,7 +233,7 @@
 pub async fn show(State(app): State<App>, headers: HeaderMap) -> Response {
     let shown = async {
         authorize(&app, &headers)?;
-        let answer = app.node.ask(Target::Here, Query::History).await?;
+        let answer = app.node.ask(Target::Local, Query::History).await?;
         let Answer::History(history) = answer else {
             return Err(Kind::Internal.into());
         };
@@ -360,7 +360,7 @@
 pub async fn status(State(app): State<App>, headers: HeaderMap) -> Response {
     let status = async {
         authorize(&app, &headers)?;
-        let Answer::Status(own) = app.node.ask(Target::Here, Query::Status).await? else {
+        let Answer::Status(own) = app.node.ask(Target::Local, Query::Status).await? else {
             return Err(Kind::Internal.into());
         };
         let mut all = vec![own.clone()];
--- a/src/http/platform.rs
+++ b/src/http/platform.rs
@@ -95,7 +95,7 @@
         },
     };
     match app.node.ask(target, Query::Announce(heartbeat)).await? {
-        Answer::Heard(seen) => Ok(seen),
+        Answer::HeartbeatAccepted(seen) => Ok(seen),
         _ => Err(Kind::Internal.into()),
     }
 }
--- a/src/http/proxy.rs
+++ b/src/http/proxy.rs
@@ -13,7 +13,7 @@
 use super::pool::Pool;
 use super::reply::ErrorResponse;
 use crate::config::Service;
-use crate::core::claim::{self, ANSWER_MAX, Attempt, End, Settlement, Verdict};
+use crate::core::claim::{self, ANSWER_MAX_BYTES, Attempt, End, Settlement, Verdict};
 use crate::core::control::{Answer, Query, Target};
 use crate::core::gate::{Announcement, Assignment, Request};
 use crate::core::retry::backoff;
@@ -192,7 +192,7 @@
             id,
             body: body_digest(incoming),
             owner: traffic.id,
-            minted_age: incoming.generated_age,
+            generated_age: incoming.generated_age,
         };
         let query = Query::Claim(attempt.clone());
         let refused = |error: Error| Denial::Refused(ErrorResponse::new(error, &incoming.id));
@@ -409,7 +409,7 @@
 
 // Returns the part of a response that is stored with the claim, unless its body is too large.
 fn storable_answer(answer: &FullResponse) -> Option<claim::Answer> {
-    if answer.body().len() > ANSWER_MAX {
+    if answer.body().len() > ANSWER_MAX_BYTES {
         return None;
     }
     Some(claim::Answer {
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -248,7 +248,7 @@
         gate.finish(now, assignment, exchange);
         drop(gate);
         if exchange == Exchange::Answered {
-            self.budget.lock().expect("budget lock").earn();
+            self.budget.lock().expect("budget lock").record_success();
         }
         self.dispatch();
     }
--- a/src/util.rs
+++ b/src/util.rs
@@ -4,7 +4,7 @@
 
 use sha2::{Digest, Sha256};
 
-use crate::core::escrow::Cell;
+use crate::core::escrow::ResourceId;
 
 /// Returns the SHA-256 digest of `bytes`.
 pub fn sha256(bytes: &[u8]) -> [u8; 32] {
@@ -18,8 +18,8 @@
 }
 
 /// Returns the id under which escrow accounts for the units of `name`.
-pub fn cell_named(name: &str) -> Cell {
-    Cell(hash64(name.as_bytes()))
+pub fn cell_named(name: &str) -> ResourceId {
+    ResourceId(hash64(name.as_bytes()))
 }
 
 /// Parses a duration such as `250ms`, `2s`, `5m` or `1h`.
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -95,8 +95,8 @@
         let control = instance.control.as_ref().expect("runs");
         let now = instance.clock(self.time);
         (
-            now < control.root_vouches_until(),
-            now < control.zone_vouches_until(),
+            now < control.root_verified_until(),
+            now < control.zone_verified_until(),
         )
     }
 
--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -1,7 +1,7 @@
 //! Escrow accounts under message loss, repetition and reordering.
 
 use plantaincross::core::escrow::{Holding, Issuer};
-use plantaincross::core::share::{Claim, Claimant, divide, targets};
+use plantaincross::core::share::{Claimant, UnitClaimant, divide, targets};
 use quickcheck::{Gen, QuickCheck};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -27,9 +27,9 @@
                 holders[at].give_back(rng.random_range(0..4));
             }
             2 => {
-                holders[at].take();
+                holders[at].acquire();
             }
-            3 => holders[at].put(),
+            3 => holders[at].release(),
             4 => network.push((at, issuer.account(at).given, 0)),
             5 => network.push((at, 0, holders[at].account().returned)),
             _ => deliver(&mut rng, &mut network, &mut issuer, &mut holders),
@@ -125,10 +125,10 @@
 
 #[test]
 fn whole_targets_use_the_capacity() {
-    let claim = |demand, standing| Claim {
+    let claim = |demand, standing| UnitClaimant {
         weight: 1,
         demand,
-        standing,
+        takes_surplus: standing,
     };
     assert_eq!(targets(10, &[claim(0, true), claim(0, true)]), [5, 5]);
     assert_eq!(targets(10, &[claim(9, true), claim(0, true)]), [10, 0]);
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -252,7 +252,7 @@
         for _ in 0..10_000 {
             // Nine of ten first attempts fail, and so do their retries.
             if rng.random_ratio(1, 10) {
-                budget.earn();
+                budget.record_success();
                 successes += 1;
             } else if budget.spend() {
                 retries += 1;
@@ -313,7 +313,7 @@
 
     fn table_without_history_refuses_ids_that_may_have_run() {
         let mut table = Table::default();
-        table.lose_memory(START);
+        table.mark_incomplete(START);
         let mut claim = |now, request, minted| {
             table.claim(now, Id::of("t", request), 1, OWNER, minted, RETENTION)
         };
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -258,7 +258,7 @@
             }
             stored.entries.extend(ready.entries.iter().cloned());
             let control = self.instances[at].control.as_mut().expect("running");
-            let effects = control.stored(now, ready);
+            let effects = control.advance(now, ready);
             self.execute(at, effects);
         }
         self.dispatch(at);
@@ -287,7 +287,7 @@
         while self.replies.len() > 1_000 {
             self.replies.pop_first();
         }
-        if let (Some(upstream), Answer::Heard(seen)) =
+        if let (Some(upstream), Answer::HeartbeatAccepted(seen)) =
             (self.pending_heartbeats.remove(&call), answer)
         {
             self.seen.insert(upstream, *seen);
@@ -446,7 +446,7 @@
                 let known = self.instances[a]
                     .control
                     .as_ref()
-                    .is_some_and(|c| c.knows(peer.id));
+                    .is_some_and(|c| c.has_peer(peer.id));
                 if !known && self.instances[b].runs(self.time) {
                     self.step(a, Input::PeerUp(peer));
                 }
@@ -612,7 +612,7 @@
             instance.was_leading |= instance
                 .control
                 .as_ref()
-                .is_some_and(|c| c.participant().is_named());
+                .is_some_and(|c| c.participant().is_appointed());
         }
     }
 
@@ -777,7 +777,7 @@
                     h.name,
                     h.zone,
                     control.participant().term(),
-                    control.participant().is_named(),
+                    control.participant().is_appointed(),
                     control.participant().may_act(h.clock(self.time)),
                     control.replica().leader(),
                     control.registry().applied,
