--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -85,7 +85,7 @@
         let name = format!("t{team}");
         gate.put_team(&name, 1 + team % 7);
         gate.receive_unit_balances(&[Balance {
-            cell: cell_named(&name).0,
+            resource: cell_named(&name).0,
             given: 1_000,
             returned: 0,
         }]);
@@ -183,7 +183,7 @@
         for replica in replicas.iter_mut() {
             replica.flush(now);
             let ready: Ready = replica.take_ready();
-            replica.persisted(now);
+            replica.mark_persisted(now);
             messages.extend(ready.messages);
         }
         if messages.is_empty() {
--- a/src/cell/control/links.rs
+++ b/src/cell/control/links.rs
@@ -10,7 +10,7 @@
 use crate::core::plane::lead::{Answer, Call};
 use crate::core::registry::InstanceId;
 use crate::net::{Link, Notice};
-use crate::wire::{Body, Leading};
+use crate::wire::{Body, LeaderHeartbeat};
 
 impl<P: Port> Control<P> {
     pub(super) fn handle_link_event(&mut self, event: Notice) {
@@ -40,7 +40,7 @@
         let now = self.clock.now();
         if self.is_leading(now) {
             let term = self.replica.term();
-            link.send(Body::Leading(Leading { term }));
+            link.send(Body::LeaderHeartbeat(LeaderHeartbeat { term }));
         }
         self.journal.write(&Line::PeerUp {
             peer: peer.name.clone(),
--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -5,7 +5,7 @@
 use crate::cell::journal::Line;
 use crate::cell::metrics::Metrics;
 use crate::cell::storage::{Completion, Request};
-use crate::core::consensus::{Ballot, Ready};
+use crate::core::consensus::{ElectionEvent, Ready};
 use crate::core::plane::codec;
 use crate::core::plane::state::{Command, State};
 use crate::wire::{Body, Entry, Raft};
@@ -28,12 +28,12 @@
                 continue;
             }
             let mut ready = self.replica.take_ready();
-            self.log_election_events(std::mem::take(&mut ready.ballots));
+            self.log_election_events(std::mem::take(&mut ready.election_events));
             if ready.is_idle() {
                 break;
             }
             // A leader may send entries to followers before its own write completes.
-            if self.replica.is_leader() && ready.hard.is_none() || !ready.needs_disk() {
+            if self.replica.is_leader() && ready.hard_state.is_none() || !ready.must_sync() {
                 let messages = std::mem::take(&mut ready.messages);
                 self.send_all(messages);
             }
@@ -41,7 +41,7 @@
                 self.restore_snapshot(snapshot.index, &snapshot.data);
             }
             let committed = std::mem::take(&mut ready.committed);
-            if ready.needs_disk() {
+            if ready.must_sync() {
                 self.store(ready);
             }
             self.apply_all(committed);
@@ -49,10 +49,10 @@
         self.compact();
     }
 
-    fn log_election_events(&self, ballots: Vec<Ballot>) {
+    fn log_election_events(&self, ballots: Vec<ElectionEvent>) {
         for ballot in ballots {
             let line = match ballot {
-                Ballot::Stood {
+                ElectionEvent::Stood {
                     pre,
                     term,
                     last_index,
@@ -61,7 +61,7 @@
                     term,
                     last_index,
                 },
-                Ballot::Asked {
+                ElectionEvent::Asked {
                     candidate,
                     pre,
                     term,
@@ -105,7 +105,7 @@
             Completion::Stored { ready, last } => {
                 self.storing = false;
                 let now = self.clock.now();
-                self.replica.persisted_to(now, last.0, last.1);
+                self.replica.mark_persisted_to(now, last.0, last.1);
                 self.send_all(ready.messages);
                 self.process_ready();
             }
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -35,7 +35,7 @@
 use crate::error::Result;
 use crate::net::{Mesh, Notice};
 use crate::store::{Folder, Wal};
-use crate::wire::{Body, Leading, Ping, Voter};
+use crate::wire::{Body, LeaderHeartbeat, Ping, Voter};
 
 /// Longest wait of the loop on a leader: the shortest interval of the leader's timers.
 const LEADER_LOOP_WAIT_MAX: Duration = Duration::from_millis(20);
@@ -305,7 +305,7 @@
     // Bootstraps a new cell. Only the seed with the lowest address does so, and only once
     // it is linked to all other seeds and none of them belongs to a group yet.
     fn bootstrap(&mut self, now: Moment) {
-        if !self.settings.founding || !self.replica.is_blank() {
+        if !self.settings.founding || !self.replica.is_uninitialized() {
             return;
         }
         let mut founders = self.settings.seeds.clone();
@@ -363,7 +363,7 @@
         self.next_leader_heartbeat_at = now + LEADER_HEARTBEAT_INTERVAL;
         let term = self.replica.term();
         for link in self.links.values().filter_map(|links| links.last()) {
-            link.send(Body::Leading(Leading { term }));
+            link.send(Body::LeaderHeartbeat(LeaderHeartbeat { term }));
         }
         let metrics = &self.metrics;
         metrics.config_version.set(self.state.plan.version as i64);
@@ -405,7 +405,7 @@
 
     // Returns whether this instance leads and holds a valid lease.
     fn is_leading(&self, now: Moment) -> bool {
-        self.lead.is_some() && self.replica.is_leased(now)
+        self.lead.is_some() && self.replica.holds_lease(now)
     }
 
     fn update_leadership(&mut self, now: Moment) {
@@ -417,7 +417,7 @@
         if lost {
             self.stop_leading();
         }
-        if self.lead.is_none() && self.replica.is_leased(now) && !self.has_unapplied_entries() {
+        if self.lead.is_none() && self.replica.holds_lease(now) && !self.has_unapplied_entries() {
             self.start_leading(term);
         }
         let leader = self.replica.leader();
@@ -568,7 +568,7 @@
             return;
         };
         let (term, number, results) = (*term, order.number, self.results.clone());
-        let leased = self.replica.is_leased(self.clock.now());
+        let leased = self.replica.holds_lease(self.clock.now());
         let transport = Arc::clone(&self.transport);
         tokio::spawn(async move {
             let reply = if leased {
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -346,7 +346,7 @@
     fn handle_message(&mut self, from: InstanceId, body: Body) {
         match body {
             Body::Ping(ping) => self.mesh.learn(&ping.peers),
-            Body::Leading(heartbeat) => self.handle_leader_heartbeat(from, heartbeat.term),
+            Body::LeaderHeartbeat(heartbeat) => self.handle_leader_heartbeat(from, heartbeat.term),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
                 Ok(Remote::Permission(request)) => {
                     let shared = self.shared.lock().expect("shared lock");
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -13,7 +13,7 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
 use crate::clock;
-use crate::core::consensus::Doubt;
+use crate::core::consensus::VoteRefusal;
 use crate::core::plane::lead::Note;
 
 /// Largest number of lines of one kind that are written in a second. Eight kinds at this
@@ -96,7 +96,7 @@
         /// Term of the election.
         term: u64,
         /// Reason for refusing the vote; absent if it was granted.
-        refused: Option<Doubt>,
+        refused: Option<VoteRefusal>,
     },
     /// This instance learned of a new leader.
     LeaderSeen {
--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -160,12 +160,12 @@
         source.applied = source.applied.max(allotment.applied);
         gate.renew(source.key, Moment(allotment.sent_at) + ALLOTMENT_TERM);
         for balance in &allotment.slots {
-            gate.receive_slots(ResourceId(balance.cell), balance.given);
+            gate.receive_slots(ResourceId(balance.resource), balance.given);
         }
         if source.local {
             gate.receive_unit_balances(&allotment.units);
         }
-        source.acknowledge(allotment.answers);
+        source.acknowledge(allotment.report_number);
         for recall in &allotment.recall_slots {
             gate.return_slots(source.key, &recall.name, recall.units);
         }
@@ -267,7 +267,7 @@
                 *unacked = (returned, number);
             }
             balances.push(wire::Balance {
-                cell: cell.0,
+                resource: cell.0,
                 given: 0,
                 returned,
             });
@@ -322,7 +322,7 @@
 
 const fn opening_balance(cell: ResourceId, held: u64) -> wire::Balance {
     wire::Balance {
-        cell: cell.0,
+        resource: cell.0,
         given: held,
         returned: 0,
     }
--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -382,7 +382,7 @@
 
 const fn balance(resource: ResourceId, given: u64, returned: u64) -> wire::Balance {
     wire::Balance {
-        cell: resource.0,
+        resource: resource.0,
         given,
         returned,
     }
--- a/src/core/allocator/reports.rs
+++ b/src/core/allocator/reports.rs
@@ -96,7 +96,7 @@
         // Counters of an earlier epoch are not comparable with those of this one.
         self.close_accounts(from);
         for balance in &report.slots {
-            let resource = ResourceId(balance.cell);
+            let resource = ResourceId(balance.resource);
             // Accounts of an upstream that has not announced itself to this leader yet
             // are kept aside until it does.
             let issuer = match self.upstreams.get_mut(&resource) {
@@ -109,7 +109,7 @@
             issuer.adopt(from, balance.given);
         }
         for balance in &report.units {
-            if let Some(name) = self.teams_by_resource.get(&ResourceId(balance.cell)) {
+            if let Some(name) = self.teams_by_resource.get(&ResourceId(balance.resource)) {
                 let units = self.units.get_mut(name).expect("named units");
                 units.issuer.adopt(from, balance.given);
             }
@@ -129,7 +129,7 @@
     /// Records the counters, demands and acknowledgement of a report.
     pub(super) fn settle(&mut self, now: Moment, from: InstanceId, report: &wire::Report) {
         for balance in &report.slots {
-            let resource = ResourceId(balance.cell);
+            let resource = ResourceId(balance.resource);
             let issuer = match self.upstreams.get_mut(&resource) {
                 Some(upstream) => Some(upstream.issuer_mut()),
                 None => self.retired.get_mut(&resource),
@@ -139,7 +139,7 @@
             }
         }
         for balance in &report.units {
-            if let Some(name) = self.teams_by_resource.get(&ResourceId(balance.cell)) {
+            if let Some(name) = self.teams_by_resource.get(&ResourceId(balance.resource)) {
                 let units = self.units.get_mut(name).expect("named units");
                 units.issuer.settle(from, balance.returned);
             }
@@ -183,7 +183,7 @@
             epoch: holder.epoch,
             sent_at: holder.sent_at,
             number: holder.last_allotment,
-            answers,
+            report_number: answers,
             upstreams: holder
                 .dirty_upstreams
                 .keys()
--- a/src/core/consensus/ballot.rs
+++ b/src/core/consensus/ballot.rs
@@ -6,7 +6,7 @@
 /// An event of an election, as one replica sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ballot {
+pub enum ElectionEvent {
     /// This replica started a vote or a pre-vote.
     Stood {
         /// Whether this is a pre-vote, which binds no voter.
@@ -25,7 +25,7 @@
         /// Term of the election.
         term: u64,
         /// Why the vote was refused; `None` if it was granted.
-        refused: Option<Doubt>,
+        refused: Option<VoteRefusal>,
     },
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
-pub enum Doubt {
+pub enum VoteRefusal {
     /// The voter leads, or has heard from the leader within the shortest election
     /// timeout.
     HearsLeader,
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use rand::RngExt;
 
-use super::ballot::{Ballot, Doubt};
+use super::ballot::{ElectionEvent, VoteRefusal};
 use super::progress::Progress;
 use super::replica::{ELECTION_TIMEOUT_MAX, ELECTION_TIMEOUT_MIN, LeaderState, Replica, Role};
 use crate::core::time::{Moment, with_clock_margin};
@@ -31,7 +31,7 @@
     }
 
     pub(super) fn become_follower(&mut self, now: Moment, term: u64) {
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             self.set_hard_state(term, 0);
             self.leader = None;
         }
@@ -52,17 +52,17 @@
         } else {
             self.election_at =
                 now + self.random_duration(CANDIDATE_TIMEOUT_MIN, CANDIDATE_TIMEOUT_MAX);
-            self.set_hard_state(self.hard.term + 1, self.id);
+            self.set_hard_state(self.hard_state.term + 1, self.id);
             self.role = Role::Candidate(own);
         }
         let vote = Vote {
             pre,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            for_term: self.hard.term + u64::from(pre),
+            for_term: self.hard_state.term + u64::from(pre),
             leader_transfer,
         };
-        self.ready.ballots.push(Ballot::Stood {
+        self.ready.election_events.push(ElectionEvent::Stood {
             pre,
             term: vote.for_term,
             last_index: vote.last_index,
@@ -86,9 +86,9 @@
             .progress
             .iter()
             .filter(|(id, _)| self.is_voting(**id))
-            .max_by_key(|(_, p)| (p.matched, p.acked_at))
+            .max_by_key(|(_, p)| (p.match_index, p.acked_at))
             .map(|(&id, _)| id);
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.become_follower(now, term);
         self.leader = None;
         self.election_at = now + ELECTION_TIMEOUT_MAX * 2;
@@ -100,7 +100,11 @@
     // A delayed message is harmless: by then its term has passed, and a replica that
     // voted in the next term cannot vote in it again.
     pub(super) fn step_timeout_now(&mut self, now: Moment, from: u64, term: u64) {
-        if term == self.hard.term && self.is_voter() && self.is_voting(from) && !self.is_leader() {
+        if term == self.hard_state.term
+            && self.is_voter()
+            && self.is_voting(from)
+            && !self.is_leader()
+        {
             self.leader_heard_at = Moment::ZERO;
             self.start_election(now, false, true);
         }
@@ -120,18 +124,19 @@
         let hears_leader = self.is_leader()
             || now < self.leader_heard_at + with_clock_margin(ELECTION_TIMEOUT_MIN);
         if hears_leader && (self.is_leader() || !vote.leader_transfer) {
-            self.record_vote_request(from, vote, Some(Doubt::HearsLeader));
+            self.record_vote_request(from, vote, Some(VoteRefusal::HearsLeader));
             return;
         }
-        if !vote.pre && term > self.hard.term {
+        if !vote.pre && term > self.hard_state.term {
             self.become_follower(now, term);
         }
         let current = (self.log.last_term(), self.log.last_index());
         let up_to_date = (vote.last_term, vote.last_index) >= current;
         let vote_available = if vote.pre {
-            vote.for_term > self.hard.term
+            vote.for_term > self.hard_state.term
         } else {
-            term == self.hard.term && (self.hard.vote == 0 || self.hard.vote == from)
+            term == self.hard_state.term
+                && (self.hard_state.vote == 0 || self.hard_state.vote == from)
         };
         // Of two concurrent pre-candidates with equal logs, the one with the higher
         // replica number proceeds. If both did, they would split the vote.
@@ -139,9 +144,9 @@
         let is_rival = vote.pre && matches!(self.role, Role::PreCandidate(_));
         let outranked = (vote.last_term, vote.last_index, from) > own;
         let refusal = match (up_to_date, vote_available) {
-            (false, _) => Some(Doubt::Behind),
-            (true, false) => Some(Doubt::Voted),
-            (true, true) if is_rival && !outranked => Some(Doubt::StandsItself),
+            (false, _) => Some(VoteRefusal::Behind),
+            (true, false) => Some(VoteRefusal::Voted),
+            (true, true) if is_rival && !outranked => Some(VoteRefusal::StandsItself),
             (true, true) => None,
         };
         if is_rival && refusal.is_none() {
@@ -151,7 +156,7 @@
         self.record_vote_request(from, vote, refusal);
         let granted = refusal.is_none();
         if granted && !vote.pre {
-            self.set_hard_state(self.hard.term, from);
+            self.set_hard_state(self.hard_state.term, from);
             self.reset_election_timeout(now);
         }
         let reply = VoteReply {
@@ -162,8 +167,8 @@
         self.send(from, RaftBody::VoteReply(reply));
     }
 
-    fn record_vote_request(&mut self, candidate: u64, vote: Vote, refused: Option<Doubt>) {
-        self.ready.ballots.push(Ballot::Asked {
+    fn record_vote_request(&mut self, candidate: u64, vote: Vote, refused: Option<VoteRefusal>) {
+        self.ready.election_events.push(ElectionEvent::Asked {
             candidate,
             pre: vote.pre,
             term: vote.for_term,
@@ -175,7 +180,7 @@
         if !reply.granted || !self.is_voting(from) {
             return;
         }
-        let own_term = self.hard.term;
+        let own_term = self.hard_state.term;
         match &mut self.role {
             Role::PreCandidate(votes) if reply.pre && reply.for_term == own_term + 1 => {
                 votes.insert(from);
@@ -218,7 +223,7 @@
         self.leader = Some(self.id);
         // A leader may only commit entries of earlier terms along with one of its own.
         self.append(Entry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: next,
             command: Bytes::new(),
             voters: Vec::new(),
@@ -229,7 +234,7 @@
     // A leader that was removed from the group steps down once the change is committed.
     pub(super) fn step_down_if_removed(&mut self, now: Moment) {
         if self.commit >= self.voters_index && !self.is_voter() {
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             self.become_follower(now, term);
             self.leader = None;
         }
--- a/src/core/consensus/follow.rs
+++ b/src/core/consensus/follow.rs
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn follow_leader(&mut self, now: Moment, from: u64, term: u64) -> bool {
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             let reply = AppendReply {
                 ok: false,
                 index: self.log.last_index(),
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -12,7 +12,7 @@
 mod replicate;
 mod transfer;
 
-pub use ballot::{Ballot, Doubt};
+pub use ballot::{ElectionEvent, VoteRefusal};
 pub use log::{Log, Snapshot};
 pub use progress::Progress;
 pub use replica::{
--- a/src/core/consensus/progress.rs
+++ b/src/core/consensus/progress.rs
@@ -12,7 +12,7 @@
     /// Whether the replica stores its log on disk.
     pub durable: bool,
     /// Highest index up to which the replica's log is known to match the leader's.
-    pub matched: u64,
+    pub match_index: u64,
     /// Index of the next entry to send.
     pub next_index: u64,
     /// Time at which the latest acknowledged request was sent.
@@ -57,13 +57,13 @@
                 .probed_at
                 .is_none_or(|at| now.since(at) >= PROBE_TIMEOUT);
         }
-        self.next_index.saturating_sub(self.matched + 1) < IN_FLIGHT_MAX_ENTRIES
+        self.next_index.saturating_sub(self.match_index + 1) < IN_FLIGHT_MAX_ENTRIES
     }
 
     /// Records that the replica's log matches up to `index`.
     pub fn record_match(&mut self, index: u64) {
-        self.matched = self.matched.max(index);
-        self.next_index = self.next_index.max(self.matched + 1);
+        self.match_index = self.match_index.max(index);
+        self.next_index = self.next_index.max(self.match_index + 1);
         self.snapshot = None;
         self.probing = false;
         self.probed_at = None;
@@ -79,7 +79,10 @@
         if self.probing && self.probed_at.is_some_and(|at| at != sent_at) {
             return false;
         }
-        self.next_index = (hint + 1).clamp(self.matched + 1, self.next_index.max(self.matched + 1));
+        self.next_index = (hint + 1).clamp(
+            self.match_index + 1,
+            self.next_index.max(self.match_index + 1),
+        );
         self.snapshot = None;
         self.probing = true;
         self.probed_at = None;
--- a/src/core/consensus/replica.rs
+++ b/src/core/consensus/replica.rs
@@ -8,7 +8,7 @@
 use rand_chacha::rand_core::SeedableRng;
 use snafu::Snafu;
 
-use super::ballot::Ballot;
+use super::ballot::ElectionEvent;
 use super::log::{Log, Snapshot};
 use super::progress::Progress;
 use super::transfer::Incoming;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
     /// Stored term and vote.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// Latest stored snapshot, or the default one if there is none.
     pub snapshot: Snapshot,
     /// Log entries after the snapshot.
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub struct Ready {
     /// Term and vote to store.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// Snapshot received from another replica, to be stored and loaded into the state
     /// machine.
     pub snapshot: Option<Snapshot>,
@@ -60,7 +60,7 @@
     /// Committed entries to apply to the state machine.
     pub committed: Vec<Entry>,
     /// Election events to write to the journal.
-    pub ballots: Vec<Ballot>,
+    pub election_events: Vec<ElectionEvent>,
 }
 
 /// Error for a proposal to a replica that does not lead, or that cannot change the
@@ -98,7 +98,7 @@
     pub(super) id: u64,
     pub(super) name: String,
     pub(super) durable: bool,
-    pub(super) hard: HardState,
+    pub(super) hard_state: HardState,
     pub(super) role: Role,
     pub(super) log: Log,
     pub(super) snapshot_crc: u32,
@@ -121,8 +121,8 @@
 
 impl Ready {
     /// Returns whether there is anything to store.
-    pub const fn needs_disk(&self) -> bool {
-        self.hard.is_some()
+    pub const fn must_sync(&self) -> bool {
+        self.hard_state.is_some()
             || self.snapshot.is_some()
             || self.truncate_from.is_some()
             || !self.entries.is_empty()
@@ -130,7 +130,7 @@
 
     /// Returns whether there is nothing to store, send or apply.
     pub const fn is_idle(&self) -> bool {
-        !self.needs_disk() && self.messages.is_empty() && self.committed.is_empty()
+        !self.must_sync() && self.messages.is_empty() && self.committed.is_empty()
     }
 }
 
@@ -148,7 +148,7 @@
             id,
             name: name.to_owned(),
             durable,
-            hard: stored.hard,
+            hard_state: stored.hard_state,
             role: Role::Follower,
             snapshot_crc: crc,
             voters: Vec::new(),
@@ -177,7 +177,7 @@
 
     /// Returns the current term.
     pub const fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// Returns the current leader, as far as this replica knows.
@@ -212,7 +212,7 @@
 
     /// Returns whether this replica knows no voters, so that the group may not have been
     /// founded yet.
-    pub const fn is_blank(&self) -> bool {
+    pub const fn is_uninitialized(&self) -> bool {
         self.voters.is_empty()
     }
 
@@ -229,7 +229,7 @@
     /// Founds the group with `voters`, which become the first log entry. Does nothing if
     /// this replica knows voters or has log entries.
     pub fn found(&mut self, now: Moment, voters: Vec<Voter>) {
-        if !self.is_blank() || self.log.last_index() > 0 {
+        if !self.is_uninitialized() || self.log.last_index() > 0 {
             return;
         }
         self.set_hard_state(1, 0);
@@ -245,7 +245,7 @@
 
     /// Returns whether this replica leads and no other replica can: it holds an
     /// unexpired leader lease and has committed an entry of its own term.
-    pub fn is_leased(&self, now: Moment) -> bool {
+    pub fn holds_lease(&self, now: Moment) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
@@ -276,7 +276,7 @@
         }
         let index = self.log.last_index() + 1;
         self.append(Entry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index,
             command,
             voters: Vec::new(),
@@ -308,7 +308,7 @@
         }
         let index = self.log.last_index() + 1;
         self.append(Entry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index,
             command: Bytes::new(),
             voters,
@@ -356,7 +356,7 @@
         let is_pre_reply =
             matches!(&body, RaftBody::VoteReply(reply) if reply.pre && reply.granted);
         let is_observe = matches!(body, RaftBody::Observe(_));
-        if message.term > self.hard.term && !is_pre_reply && !is_observe {
+        if message.term > self.hard_state.term && !is_pre_reply && !is_observe {
             self.become_follower(now, message.term);
         }
         match body {
@@ -394,7 +394,7 @@
 
     /// Records that everything returned by [`Replica::take_ready`] so far has been
     /// stored.
-    pub fn persisted(&mut self, now: Moment) {
+    pub fn mark_persisted(&mut self, now: Moment) {
         self.stable = self.log.last_index();
         if self.is_leader() {
             self.advance_commit(now);
@@ -404,7 +404,7 @@
     /// Records that the log is stored up to the entry at `index`, while later entries
     /// may still be in flight to the disk. Ignored if the entry at `index` no longer has
     /// the given term.
-    pub fn persisted_to(&mut self, now: Moment, index: u64, term: u64) {
+    pub fn mark_persisted_to(&mut self, now: Moment, index: u64, term: u64) {
         if self.log.term_at(index) != Some(term) {
             return;
         }
@@ -421,7 +421,7 @@
     /// stored, so followers may receive them earlier. Replicas in other roles must store
     /// before they reply; for them the result is empty.
     pub fn take_unstored(&mut self) -> Ready {
-        if !self.is_leader() || self.ready.hard.is_some() {
+        if !self.is_leader() || self.ready.hard_state.is_some() {
             return Ready::default();
         }
         let messages = std::mem::take(&mut self.ready.messages);
@@ -466,8 +466,8 @@
     }
 
     pub(super) fn set_hard_state(&mut self, term: u64, vote: u64) {
-        self.hard = HardState { term, vote };
-        self.ready.hard = Some(self.hard);
+        self.hard_state = HardState { term, vote };
+        self.ready.hard_state = Some(self.hard_state);
     }
 
     pub(super) fn append(&mut self, entry: Entry) {
@@ -481,7 +481,7 @@
 
     pub(super) fn send(&mut self, to: u64, body: RaftBody) {
         self.ready.messages.push(Raft {
-            term: self.hard.term,
+            term: self.hard_state.term,
             from: self.id,
             to,
             body: Some(body),
--- a/src/core/consensus/replicate.rs
+++ b/src/core/consensus/replicate.rs
@@ -24,7 +24,7 @@
             return;
         };
         if now.since(contact.max(leader.since)) > ELECTION_TIMEOUT_MAX {
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             self.become_follower(now, term);
             self.leader = None;
             return;
@@ -185,7 +185,7 @@
         let Role::Leader(leader) = &mut self.role else {
             return None;
         };
-        if term != self.hard.term {
+        if term != self.hard_state.term {
             return None;
         }
         let progress = leader.progress.get_mut(&from)?;
@@ -228,14 +228,14 @@
                 if v.replica == self.id {
                     return self.stable;
                 }
-                leader.progress.get(&v.replica).map_or(0, |p| p.matched)
+                leader.progress.get(&v.replica).map_or(0, |p| p.match_index)
             })
             .collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
         let Some(&index) = matched.get(self.quorum() - 1) else {
             return;
         };
-        if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
+        if index > self.commit && self.log.term_at(index) == Some(self.hard_state.term) {
             self.commit = index;
             self.replicate(now, true);
             self.step_down_if_removed(now);
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -329,7 +329,7 @@
 
     /// Sends and applies the contents of `ready` after it has been stored.
     pub fn advance(&mut self, now: Moment, ready: Ready) -> Vec<Effect> {
-        self.replica.persisted(now);
+        self.replica.mark_persisted(now);
         for raft in ready.messages {
             self.send_raft(now, raft);
         }
@@ -398,7 +398,7 @@
     // The first founder by name founds the root group once all other founders are
     // connected and none of them belongs to a group.
     fn found_group(&mut self, now: Moment) {
-        if !self.replica.is_blank() || !self.identity.durable {
+        if !self.replica.is_uninitialized() || !self.identity.durable {
             return;
         }
         let mut names = self.identity.founders.clone();
--- a/src/core/control/peers.rs
+++ b/src/core/control/peers.rs
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn ping(&mut self, now: Moment) {
-        if self.replica.is_leased(now) {
+        if self.replica.holds_lease(now) {
             self.fresh
                 .record(now, self.replica.commit(), self.registry.applied);
         }
@@ -106,7 +106,7 @@
                 let ping = Ping {
                     sent_at: now.0,
                     echo: known.ping_received,
-                    held: now.since(known.ping_received_at).as_micros() as u64,
+                    echo_delay: now.since(known.ping_received_at).as_micros() as u64,
                     peers: peers.clone(),
                     leaving: self.leaving,
                     fresh_age,
@@ -154,10 +154,10 @@
             }
             Body::Report(report) => self.handle_report(now, from, &report),
             Body::Allotment(allotment) => self.handle_allotment(now, from, &allotment),
-            Body::Withdrawn(withdrawn) => self.handle_withdrawn(withdrawn.keys),
+            Body::WithdrawnKeys(withdrawn) => self.handle_withdrawn(withdrawn.keys),
             // Sent only in cells with a single task plane, which do not use this control
             // state.
-            Body::Leading(_) => {}
+            Body::LeaderHeartbeat(_) => {}
         }
     }
 
@@ -171,7 +171,7 @@
         // its state was `age` old by then. The result is on this instance's clock and
         // never later than the actual moment.
         if let (Some(age), true) = (ping.fresh_age, ping.echo > 0) {
-            let stated_at = ping.echo.saturating_add(ping.held);
+            let stated_at = ping.echo.saturating_add(ping.echo_delay);
             let as_of = Moment(stated_at.saturating_sub(age));
             self.fresh
                 .record(as_of, ping.fresh_index, self.registry.applied);
@@ -190,7 +190,7 @@
             let event = Event::KeyWithdrawn { key: key.clone() };
             self.effects.push(Effect::Event(event));
         }
-        let body = Body::Withdrawn(crate::wire::Withdrawn { keys: new });
+        let body = Body::WithdrawnKeys(crate::wire::WithdrawnKeys { keys: new });
         for id in self.peer_ids() {
             self.send(id, body.clone());
         }
--- a/src/core/control/root.rs
+++ b/src/core/control/root.rs
@@ -58,7 +58,7 @@
         if term != self.root_term {
             self.handle_root_change(now, term);
         }
-        if term.is_some() && self.replica.is_leased(now) {
+        if term.is_some() && self.replica.holds_lease(now) {
             self.replace_voters(now);
         }
     }
@@ -112,7 +112,7 @@
                     !is_voter
                         && p.durable
                         && is_recent
-                        && p.matched + CAUGHT_UP_LAG_ENTRIES >= commit
+                        && p.match_index + CAUGHT_UP_LAG_ENTRIES >= commit
                 })
                 .map(|(id, p)| (self.zone_of_replica(id), id, p.name.clone()))
                 .min_by_key(|(zone, id, _)| {
@@ -150,7 +150,7 @@
         from: InstanceId,
         request: &LeaseRequest,
     ) {
-        if !self.replica.is_leased(now) {
+        if !self.replica.holds_lease(now) {
             return;
         }
         if request.campaign {
@@ -274,7 +274,7 @@
             return;
         };
         let since = self.replica.leader_since().unwrap_or(now);
-        if !self.replica.is_leased(now) || now < since + with_clock_margin(LEASE_DURATION) {
+        if !self.replica.holds_lease(now) || now < since + with_clock_margin(LEASE_DURATION) {
             let err = Error::new(
                 Kind::NoQuorum,
                 "the root leader has not established its lease; try again",
@@ -295,7 +295,7 @@
     /// Records a zone's demand, proposes transfers of units to the zone and answers
     /// with the units that it should return.
     pub(super) fn handle_zone_demand(&mut self, now: Moment, zone_demand: &ZoneDemand) -> Answer {
-        if !self.replica.is_leased(now) {
+        if !self.replica.holds_lease(now) {
             return Answer::Failed(Error::new(
                 Kind::NoQuorum,
                 "this instance is not the root leader",
--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -110,7 +110,8 @@
 
     /// Records the totals of team units given since their accounts were opened.
     pub fn receive_unit_balances(&mut self, balances: &[Balance]) {
-        let by_resource: HashMap<u64, u64> = balances.iter().map(|b| (b.cell, b.given)).collect();
+        let by_resource: HashMap<u64, u64> =
+            balances.iter().map(|b| (b.resource, b.given)).collect();
         if by_resource.is_empty() {
             return;
         }
@@ -122,7 +123,7 @@
         // Balances may arrive before the configuration that adds their team.
         for balance in balances {
             self.pending_units
-                .insert(ResourceId(balance.cell), balance.given);
+                .insert(ResourceId(balance.resource), balance.given);
         }
         let known: BTreeSet<ResourceId> = self.teams.iter().map(|t| t.resource).collect();
         self.pending_units
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -74,12 +74,12 @@
     let spare = replica
         .progress()
         .filter(|(id, p)| {
-            let lag = replica.commit().saturating_sub(p.matched);
+            let lag = replica.commit().saturating_sub(p.match_index);
             let is_recent = now.since(p.heard_at) < SPARE_SILENCE_MAX;
             !is_voter(*id)
                 && p.durable
                 && is_recent
-                && p.matched > 0
+                && p.match_index > 0
                 && lag <= CAUGHT_UP_LAG_ENTRIES
         })
         .filter_map(|(id, _)| Some((id, places.get(&id)?)))
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -244,7 +244,7 @@
     fn publish(&mut self) {
         let registry = self.control.registry();
         let tombstones = self.control.tombstones();
-        if !self.control.replica().is_blank() {
+        if !self.control.replica().is_uninitialized() {
             self.mesh.set_founded();
         }
         let state = Published {
--- a/src/net/handshake.rs
+++ b/src/net/handshake.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use crate::wire::{Challenge, FRAME_MAX, Hello, Proof, VERSION};
+use crate::wire::{Challenge, FRAME_MAX_BYTES, Hello, Proof, VERSION};
 
 /// Time-out for the whole handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -115,7 +115,7 @@
     let proof: Proof = receive(&mut framed).await?;
     verify_proof(secret, side.other(), &theirs.nonce, &ours.nonce, &proof)?;
     let hello = Hello::decode(proof.hello).map_err(|_| Refusal::Malformed)?;
-    framed.codec_mut().set_max_frame_length(FRAME_MAX);
+    framed.codec_mut().set_max_frame_length(FRAME_MAX_BYTES);
     Ok((hello, framed))
 }
 
--- a/src/store/wal.rs
+++ b/src/store/wal.rs
@@ -66,7 +66,7 @@
     folder: Folder,
     file: File,
     end: u64,
-    hard: HardState,
+    hard_state: HardState,
     generation: u64,
 }
 
@@ -110,7 +110,7 @@
             folder,
             file,
             end: end as u64,
-            hard: stored.hard,
+            hard_state: stored.hard_state,
             generation,
         };
         Ok((wal, stored))
@@ -139,11 +139,11 @@
             // the continuation of the new snapshot.
             self.generation += 1;
             self.write_snapshot(snapshot)?;
-            self.rewrite(ready.hard.unwrap_or(self.hard), &ready.entries)?;
+            self.rewrite(ready.hard_state.unwrap_or(self.hard_state), &ready.entries)?;
             return Ok(());
         }
         let mut buf = Vec::new();
-        if let Some(hard) = ready.hard {
+        if let Some(hard) = ready.hard_state {
             put_record(&mut buf, hard_state_record(hard, self.generation));
         }
         if let Some(from) = ready.truncate_from {
@@ -156,7 +156,7 @@
             return Ok(());
         }
         self.append(&buf)?;
-        self.hard = ready.hard.unwrap_or(self.hard);
+        self.hard_state = ready.hard_state.unwrap_or(self.hard_state);
         Ok(())
     }
 
@@ -169,7 +169,7 @@
     /// may then each be the old or the new one; what they hold together is complete.
     pub fn compact(&mut self, snapshot: &Snapshot, entries: &[Entry]) -> std::io::Result<()> {
         self.write_snapshot(snapshot)?;
-        self.rewrite(self.hard, entries)
+        self.rewrite(self.hard_state, entries)
     }
 
     fn append(&mut self, buf: &[u8]) -> std::io::Result<()> {
@@ -209,7 +209,7 @@
         write_atomically(self.folder.path(), LOG_FILE, &buf)?;
         self.file = open_private(&self.folder.path().join(LOG_FILE))?;
         self.end = buf.len() as u64;
-        self.hard = hard;
+        self.hard_state = hard;
         Ok(())
     }
 }
@@ -285,7 +285,7 @@
 fn replay(stored: &mut Stored, content: Content) {
     match content {
         Content::Hard(hard) => {
-            stored.hard = HardState {
+            stored.hard_state = HardState {
                 term: hard.term,
                 vote: hard.vote,
             };
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -16,7 +16,7 @@
 /// error that names both versions.
 pub const VERSION: u32 = 1;
 /// Largest frame that is accepted after the handshake.
-pub const FRAME_MAX: usize = 4 << 20;
+pub const FRAME_MAX_BYTES: usize = 4 << 20;
 
 /// Frame of a peer link.
 #[derive(Clone, PartialEq, Message)]
@@ -61,15 +61,15 @@
     Allotment(Allotment),
     /// Withdrawn keys, broadcast without waiting for the root group.
     #[prost(message, tag = "11")]
-    Withdrawn(Withdrawn),
+    WithdrawnKeys(WithdrawnKeys),
     /// Heartbeat of a leader that holds its lease.
     #[prost(message, tag = "12")]
-    Leading(Leading),
+    LeaderHeartbeat(LeaderHeartbeat),
 }
 
 /// Heartbeat that a leader sends while it holds its lease.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Leading {
+pub struct LeaderHeartbeat {
     /// Leader's term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -87,7 +87,7 @@
     /// Time between the receipt of the echoed ping and the sending of this one, in
     /// microseconds.
     #[prost(uint64, tag = "3")]
-    pub held: u64,
+    pub echo_delay: u64,
     /// Addresses of peers that the sender knows. Not every ping carries them.
     #[prost(string, repeated, tag = "4")]
     pub peers: Vec<String>,
@@ -195,7 +195,7 @@
 pub struct Balance {
     /// Number of the divided capacity: an upstream's slots or a team's units.
     #[prost(fixed64, tag = "1")]
-    pub cell: u64,
+    pub resource: u64,
     /// Units that the issuer has given since the account was opened.
     #[prost(uint64, tag = "2")]
     pub given: u64,
@@ -304,7 +304,7 @@
     pub number: u64,
     /// Number of the report that this allotment answers.
     #[prost(uint64, tag = "5")]
-    pub answers: u64,
+    pub report_number: u64,
     /// Upstreams that changed.
     #[prost(message, repeated, tag = "6")]
     pub upstreams: Vec<UpstreamInfo>,
@@ -331,7 +331,7 @@
 
 /// Broadcast of withdrawn keys.
 #[derive(Clone, PartialEq, Message)]
-pub struct Withdrawn {
+pub struct WithdrawnKeys {
     /// Names of the keys.
     #[prost(string, repeated, tag = "1")]
     pub keys: Vec<String>,
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -296,7 +296,7 @@
     let ping = plantaincross::wire::Ping {
         sent_at: u64::MAX >> 8,
         echo: u64::MAX >> 8,
-        held: 400_000,
+        echo_delay: 400_000,
         peers: Vec::new(),
         leaving: false,
         fresh_age: Some(300_000),
--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -22,15 +22,15 @@
 /// Synced state of one replica, which survives a crash.
 #[derive(Clone, Default)]
 struct Disk {
-    hard: HardState,
+    hard_state: HardState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
 }
 
 impl Disk {
     fn store(&mut self, ready: &Ready) {
-        if let Some(hard) = ready.hard {
-            self.hard = hard;
+        if let Some(hard) = ready.hard_state {
+            self.hard_state = hard;
         }
         if let Some(snapshot) = &ready.snapshot {
             self.snapshot = snapshot.clone();
@@ -44,7 +44,7 @@
 
     fn stored(&self) -> Stored {
         Stored {
-            hard: self.hard,
+            hard_state: self.hard_state,
             snapshot: self.snapshot.clone(),
             entries: self.entries.clone(),
         }
@@ -145,7 +145,7 @@
             };
             replica.flush(now);
             let ready = replica.take_ready();
-            if ready.hard.is_none()
+            if ready.hard_state.is_none()
                 && ready.snapshot.is_none()
                 && ready.truncate_from.is_none()
                 && ready.entries.is_empty()
@@ -165,7 +165,7 @@
                 return;
             }
             let replica = self.hosts[at].replica.as_mut().expect("running");
-            replica.persisted(now);
+            replica.mark_persisted(now);
             for message in ready.messages {
                 self.send(&message);
             }
@@ -296,7 +296,7 @@
         };
         // A founder that crashed before its first entry was stored tries again, as the
         // driver does.
-        if at == 0 && replica.is_blank() {
+        if at == 0 && replica.is_uninitialized() {
             replica.found(now, founders);
         }
         replica.tick(now);
@@ -394,7 +394,7 @@
             }
             // Also checked for paused hosts: a process reads its clock again before it
             // acts on the lease.
-            if replica.is_leased(host.clock(self.time)) {
+            if replica.holds_lease(host.clock(self.time)) {
                 leased += 1;
                 let newest = self.committed.keys().next_back().copied().unwrap_or(0);
                 assert!(
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -42,7 +42,7 @@
                 let name = format!("t{at}");
                 let key = gate.put_team(&name, share);
                 let balance = Balance {
-                    cell: cell_named(&name).0,
+                    resource: cell_named(&name).0,
                     given: 1_000_000,
                     returned: 0,
                 };
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -4,7 +4,9 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use plantaincross::core::consensus::{Ballot, Doubt, ELECTION_TIMEOUT_MAX, Replica, Stored};
+use plantaincross::core::consensus::{
+    ELECTION_TIMEOUT_MAX, ElectionEvent, Replica, Stored, VoteRefusal,
+};
 use plantaincross::core::time::Moment;
 use plantaincross::wire::{Raft, RaftBody, Vote, Voter};
 
@@ -21,7 +23,7 @@
     /// Interval between ticks of the replicas, in milliseconds.
     tick_interval_ms: u64,
     /// Election events of each replica.
-    election_events: Vec<Vec<Ballot>>,
+    election_events: Vec<Vec<ElectionEvent>>,
 }
 
 impl Group {
@@ -60,7 +62,7 @@
         group.replicas[0].found(Moment(group.now), voters);
         for _ in 0..4_000 {
             group.step();
-            if group.replicas[0].is_leased(Moment(group.now)) {
+            if group.replicas[0].holds_lease(Moment(group.now)) {
                 return group;
             }
         }
@@ -83,8 +85,8 @@
             }
             replica.flush(now);
             let ready = replica.take_ready();
-            self.election_events[at].extend(&ready.ballots);
-            replica.persisted(now);
+            self.election_events[at].extend(&ready.election_events);
+            replica.mark_persisted(now);
             for raft in ready.messages {
                 let is_lost = self.isolated == Some(raft.to) || self.isolated == Some(raft.from);
                 if raft.to != 0 && !is_lost {
@@ -166,14 +168,14 @@
     let now = Moment(group.now);
     group.replicas[0].resign(now);
     assert!(
-        !group.replicas[0].is_leased(now),
+        !group.replicas[0].holds_lease(now),
         "a leader that resigned holds no lease"
     );
     for _ in 0..60 {
         group.step();
     }
     let now = Moment(group.now);
-    let leaders = group.replicas.iter().filter(|r| r.is_leased(now)).count();
+    let leaders = group.replicas.iter().filter(|r| r.holds_lease(now)).count();
     assert_eq!(leaders, 1, "another leads within six round trips");
     assert!(!group.replicas[0].is_leader());
 }
@@ -222,7 +224,7 @@
         let has_leader = |group: &Group| {
             group.replicas[1..]
                 .iter()
-                .any(|r| r.is_leased(Moment(group.now)))
+                .any(|r| r.holds_lease(Moment(group.now)))
         };
         let took = (0..10_000).find(|_| {
             group.step();
@@ -245,17 +247,17 @@
     group.run(3_000, 2);
     group.isolated = None;
     group.run(50, 2);
-    let stood = |b: &Ballot| matches!(b, Ballot::Stood { pre: true, .. });
+    let stood = |b: &ElectionEvent| matches!(b, ElectionEvent::Stood { pre: true, .. });
     assert!(
         group.election_events[2].iter().any(stood),
         "the isolated replica reports its pre-vote"
     );
-    let refused = |b: &Ballot| {
+    let refused = |b: &ElectionEvent| {
         matches!(
             b,
-            Ballot::Asked {
+            ElectionEvent::Asked {
                 candidate: 3,
-                refused: Some(Doubt::HearsLeader),
+                refused: Some(VoteRefusal::HearsLeader),
                 ..
             }
         )
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -57,7 +57,7 @@
 fn fill(temp: &Temp, count: u64) {
     let (mut wal, _) = temp.open().expect("opens");
     wal.store(&Ready {
-        hard: Some(HardState { term: 1, vote: 7 }),
+        hard_state: Some(HardState { term: 1, vote: 7 }),
         ..Ready::default()
     })
     .expect("stored");
@@ -92,7 +92,7 @@
     fn stored_state_is_recovered(temp) {
         fill(&temp, 20);
         let (_, stored) = temp.open().expect("opens");
-        assert_eq!(stored.hard, HardState { term: 1, vote: 7 });
+        assert_eq!(stored.hard_state, HardState { term: 1, vote: 7 });
         assert_eq!(stored.entries, (1..21).map(entry).collect::<Vec<_>>());
     }
 
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -236,7 +236,7 @@
                 return;
             };
             let ready = control.take_ready(now);
-            let idle = ready.hard.is_none()
+            let idle = ready.hard_state.is_none()
                 && ready.snapshot.is_none()
                 && ready.truncate_from.is_none()
                 && ready.entries.is_empty()
@@ -246,8 +246,8 @@
                 break;
             }
             let stored = &mut self.instances[at].disk.stored;
-            if let Some(hard) = ready.hard {
-                stored.hard = hard;
+            if let Some(hard) = ready.hard_state {
+                stored.hard_state = hard;
             }
             if let Some(snapshot) = &ready.snapshot {
                 stored.snapshot = snapshot.clone();
@@ -810,6 +810,6 @@
         founded: instance
             .control
             .as_ref()
-            .is_some_and(|c| !c.replica().is_blank()),
+            .is_some_and(|c| !c.replica().is_uninitialized()),
     }
 }
