--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -13,7 +13,7 @@
 use plantaincross::core::claim::{Id, Table};
 use plantaincross::core::consensus::{Ready, Replica, Snapshot, Stored};
 use plantaincross::core::gate::{
-    Admission, Announcement, Exchange, Gate, Request, SourceKey, cell_of,
+    Admission, Announcement, Completion, Gate, Request, SourceKey, resource_of,
 };
 use plantaincross::core::registry::InstanceId;
 use plantaincross::core::share::{Claimant, divide};
@@ -100,7 +100,7 @@
             slots: 8,
             connections: 64,
         };
-        let cell = cell_of(&announcement);
+        let cell = resource_of(&announcement);
         gate.put_upstream(announcement, source, false);
         gate.receive_slots(cell, 8);
     }
@@ -135,7 +135,7 @@
         b.iter(|| {
             now = now + Duration::from_micros(50);
             let done = running.pop_front().expect("runs");
-            gate.finish(now, done, Exchange::Answered);
+            gate.finish(now, done, Completion::Answered);
             running.push_back(submit(&mut gate, now));
         });
     });
--- a/src/config.rs
+++ b/src/config.rs
@@ -115,7 +115,7 @@
             run_limit: Duration::from_secs(10),
             body_limit: 1 << 20,
             answer_limit: 4 << 20,
-            queue_limit: crate::core::gate::DEFAULT_QUEUE_LIMIT,
+            queue_limit: crate::core::gate::DEFAULT_MAX_QUEUED_REQUESTS,
             post_idempotent: false,
             open: None,
         }
--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::core::allocator::ALLOTMENT_TERM;
+use crate::core::allocator::ALLOTMENT_LEASE;
 use crate::core::escrow::ResourceId;
-use crate::core::gate::{Announcement, Gate, SourceKey, cell_of};
+use crate::core::gate::{Announcement, Gate, SourceKey, resource_of};
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
 use crate::wire;
@@ -106,7 +106,7 @@
 
     /// Returns the reports due at `now`, each with its receiver.
     pub fn tick(&mut self, now: Moment, gate: &mut Gate) -> Vec<(InstanceId, wire::Report)> {
-        let starved = gate.is_starved();
+        let starved = gate.has_queued_requests();
         if !starved {
             self.starved_since = None;
         } else if self.starved_since.is_none() {
@@ -126,7 +126,7 @@
             if now.since(source.sent_at) < every {
                 continue;
             }
-            if !source.local && !ask_remote && !gate.return_source(source.key) {
+            if !source.local && !ask_remote && !gate.return_all_slots(source.key) {
                 continue;
             }
             let include_demands = source.local || ask_remote;
@@ -158,7 +158,7 @@
         source.opening = None;
         source.received = source.received.max(allotment.number);
         source.applied = source.applied.max(allotment.applied);
-        gate.renew(source.key, Moment(allotment.sent_at) + ALLOTMENT_TERM);
+        gate.renew(source.key, Moment(allotment.sent_at) + ALLOTMENT_LEASE);
         for balance in &allotment.slots {
             gate.receive_slots(ResourceId(balance.resource), balance.given);
         }
@@ -300,7 +300,7 @@
         slots: info.slots,
         connections: info.connections,
     };
-    let cell = cell_of(&announcement);
+    let cell = resource_of(&announcement);
     gate.put_upstream(announcement, source.key, !source.local);
     gate.set_leaving(cell, info.leaving);
     if info.leaving {
--- a/src/core/allocator/expiry.rs
+++ b/src/core/allocator/expiry.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::{
-    ALLOTMENT_TERM, Allocator, HEARTBEAT_TIMEOUT, LostHolder, UPSTREAM_RETENTION, Upstream,
+    ALLOTMENT_LEASE, Allocator, HEARTBEAT_TIMEOUT, LostHolder, UPSTREAM_RETENTION, Upstream,
 };
 use crate::core::escrow::ResourceId;
 use crate::core::registry::InstanceId;
@@ -14,7 +14,7 @@
     /// Removes holders whose allotments have expired. Their accounts stay open until the
     /// run limit has passed, as requests that they sent may still be running.
     pub(super) fn expire_holders(&mut self, now: Moment) {
-        let term = with_clock_margin(ALLOTMENT_TERM);
+        let term = with_clock_margin(ALLOTMENT_LEASE);
         let expired: Vec<InstanceId> = self
             .holders
             .iter()
--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::core::escrow::{Issuer, ResourceId};
 use crate::core::fleet::WORKER_LEASE;
-use crate::core::gate::{Announcement, cell_of};
+use crate::core::gate::{Announcement, resource_of};
 use crate::core::registry::InstanceId;
 use crate::core::time::{Moment, with_clock_margin};
 use crate::error::{Error, Kind, Result};
@@ -22,7 +22,7 @@
 use crate::wire;
 
 /// Time for which an entry instance may use an allotment, on its own clock.
-pub const ALLOTMENT_TERM: Duration = Duration::from_millis(1_000);
+pub const ALLOTMENT_LEASE: Duration = Duration::from_millis(1_000);
 /// Shortest interval between divisions of the capacity on reports; a tick always divides.
 const DIVISION_INTERVAL: Duration = Duration::from_millis(50);
 /// Time without a heartbeat after which an upstream is sent no new requests.
@@ -152,7 +152,7 @@
     }
 
     /// Returns the upstreams.
-    pub fn hosts(&self) -> impl Iterator<Item = &Upstream> {
+    pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Reserves up to `units` of a team's limit for tasks and returns how many.
-    pub fn take_units(&mut self, now: Moment, team: &str, units: u64) -> u64 {
+    pub fn reserve_task_units(&mut self, now: Moment, team: &str, units: u64) -> u64 {
         if !self.predecessor_work_ended(now) {
             return 0;
         }
@@ -219,7 +219,7 @@
     }
 
     /// Releases units of a team's limit that tasks no longer use.
-    pub fn put_units(&mut self, team: &str, units: u64) {
+    pub fn release_task_units(&mut self, team: &str, units: u64) {
         if let Some(u) = self.units.get_mut(team) {
             let account = u.issuer.account(TASK_HOLDER);
             u.issuer.settle(TASK_HOLDER, account.returned + units);
@@ -227,7 +227,7 @@
     }
 
     /// Reserves units for tasks that were found running, even above the zone's units.
-    pub fn adopt_units(&mut self, team: &str, units: u64) {
+    pub fn adopt_task_units(&mut self, team: &str, units: u64) {
         if let Some(u) = self.units.get_mut(team) {
             let held = u.issuer.account(TASK_HOLDER).balance();
             u.issuer.adopt(TASK_HOLDER, held + units);
@@ -241,13 +241,17 @@
     ///
     /// Fails with [`Kind::BadAnnouncement`] if the announcement is invalid, is for another
     /// zone, or conflicts with a newer incarnation or another live upstream of its name.
-    pub fn announce(&mut self, now: Moment, heartbeat: &Heartbeat) -> Result<Option<Event>> {
+    pub fn receive_heartbeat(
+        &mut self,
+        now: Moment,
+        heartbeat: &Heartbeat,
+    ) -> Result<Option<Event>> {
         host::validate(&heartbeat.announcement)?;
         if heartbeat.announcement.zone != self.zone {
             let message = format!("this leader serves zone {}", self.zone);
             return Err(Error::new(Kind::BadAnnouncement, message));
         }
-        let resource = cell_of(&heartbeat.announcement);
+        let resource = resource_of(&heartbeat.announcement);
         let name = heartbeat.announcement.name.clone();
         if let Some(old) = self.resources_by_name.get(&name).copied()
             && old != resource
@@ -293,11 +297,11 @@
         if let Some(state) = self.units.get_mut(team) {
             state.recalled = units.min(state.issuer.capacity());
         }
-        self.return_owed(now);
+        self.return_recalled(now);
     }
 
     /// Returns free units to the pool of the root group, up to what it has recalled.
-    pub fn return_owed(&mut self, now: Moment) {
+    pub fn return_recalled(&mut self, now: Moment) {
         if !self.predecessor_work_ended(now) {
             return;
         }
@@ -354,7 +358,7 @@
     }
 
     fn predecessors_expired_at(&self) -> Moment {
-        self.leader_since + with_clock_margin(ALLOTMENT_TERM)
+        self.leader_since + with_clock_margin(ALLOTMENT_LEASE)
     }
 
     fn mark_upstream_dirty(&mut self, resource: ResourceId) {
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -383,7 +383,7 @@
     fn report(&mut self, now: Moment) {
         let reports = {
             let mut gate = self.gate.lock().expect("gate lock");
-            gate.sweep();
+            gate.remove_drained_upstreams();
             self.agent.tick(now, &mut gate)
         };
         for (leader, report) in reports {
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -325,7 +325,7 @@
             upstreams: self
                 .allocator
                 .iter()
-                .flat_map(|o| o.hosts())
+                .flat_map(|o| o.upstreams())
                 .map(|host| UpstreamStat {
                     name: host.announcement().name.clone(),
                     slots: host.issuer().capacity(),
--- a/src/core/control/tasks.rs
+++ b/src/core/control/tasks.rs
@@ -98,13 +98,13 @@
             return;
         };
         for team in fleet.take_adopted() {
-            allocator.adopt_units(&team, 1);
+            allocator.adopt_task_units(&team, 1);
         }
         for (team, units) in fleet.return_stock() {
-            allocator.put_units(&team, units);
+            allocator.release_task_units(&team, units);
         }
         for (team, wanted) in fleet.wanted_units() {
-            let units = allocator.take_units(now, &team, wanted);
+            let units = allocator.reserve_task_units(now, &team, wanted);
             fleet.add_units(&team, units, wanted);
         }
     }
@@ -114,7 +114,7 @@
             return;
         };
         for (team, units) in fleet.return_stock() {
-            allocator.put_units(&team, units);
+            allocator.release_task_units(&team, units);
         }
         let new = fleet.take_ended();
         let events = fleet.take_events();
--- a/src/core/control/zone.rs
+++ b/src/core/control/zone.rs
@@ -211,7 +211,7 @@
         let Some(allocator) = &mut self.allocator else {
             return;
         };
-        allocator.return_owed(now);
+        allocator.return_recalled(now);
         if let Some(fleet) = &self.fleet {
             allocator.set_task_demands(&fleet.unit_demands());
         }
@@ -268,7 +268,7 @@
             return Answer::Failed(Error::from(Kind::NoQuorum));
         };
         let term = allocator.term();
-        match allocator.announce(now, heartbeat) {
+        match allocator.receive_heartbeat(now, heartbeat) {
             Ok(events) => {
                 self.effects.extend(events.into_iter().map(Effect::Event));
                 Answer::HeartbeatAccepted(Seen { term, at: now })
--- a/src/core/gate/allotment.rs
+++ b/src/core/gate/allotment.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 use super::{
-    Announcement, DEFAULT_QUEUE_LIMIT, Gate, SourceKey, TeamKey, Upstream, UpstreamKey, cell_of,
+    Announcement, DEFAULT_MAX_QUEUED_REQUESTS, Gate, SourceKey, TeamKey, Upstream, UpstreamKey,
+    resource_of,
 };
 use crate::core::escrow::{Account, Holding, ResourceId};
 use crate::core::time::Moment;
@@ -46,8 +47,8 @@
         source: SourceKey,
         remote: bool,
     ) -> UpstreamKey {
-        let service = self.put_service(&announcement.service, DEFAULT_QUEUE_LIMIT);
-        let resource = cell_of(&announcement);
+        let service = self.put_service(&announcement.service, DEFAULT_MAX_QUEUED_REQUESTS);
+        let resource = resource_of(&announcement);
         if let Some(&key) = self.resources.get(&resource) {
             let upstream = self
                 .upstreams
@@ -81,7 +82,7 @@
     ///
     /// Their counters are kept until the accounts are reopened, since the issuer
     /// continues from them if the same incarnation returns.
-    pub fn sweep(&mut self) {
+    pub fn remove_drained_upstreams(&mut self) {
         let idle: Vec<UpstreamKey> = self
             .upstreams
             .iter()
@@ -191,7 +192,7 @@
 
     /// Returns all idle slots to the leader of `source`. The result is whether any slots
     /// were held before.
-    pub fn return_source(&mut self, source: SourceKey) -> bool {
+    pub fn return_all_slots(&mut self, source: SourceKey) -> bool {
         let mut held = false;
         for key in self.upstreams_of(source) {
             let before = self.upstreams[&key].holding.allowed();
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -15,17 +15,17 @@
 
 pub use queue::Queue;
 pub use types::{
-    Admission, Assignment, Demand, Exchange, Refusal, Request, ServiceKey, SourceKey, TeamKey,
+    Admission, Assignment, Completion, Demand, Refusal, Request, ServiceKey, SourceKey, TeamKey,
     TeamStat, Ticket, UpstreamKey,
 };
-pub use upstream::{Announcement, Index, Upstream, cell_of};
+pub use upstream::{Announcement, Index, Upstream, resource_of};
 
 use crate::core::escrow::{Account, Holding, ResourceId};
 use crate::core::time::Moment;
 use crate::error::Kind;
 
 /// Most requests that one team may have waiting for one service, unless configured.
-pub const DEFAULT_QUEUE_LIMIT: usize = 1_000;
+pub const DEFAULT_MAX_QUEUED_REQUESTS: usize = 1_000;
 /// Lower bound of the retry delay given with a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
@@ -193,7 +193,7 @@
     }
 
     /// Returns whether a request is waiting, for lack of slots or of units.
-    pub fn is_starved(&self) -> bool {
+    pub fn has_queued_requests(&self) -> bool {
         self.services.iter().any(|s| !s.queue.is_empty())
     }
 
@@ -258,7 +258,7 @@
     }
 
     /// Starts all waiting requests for which there is capacity.
-    pub fn pump(&mut self, now: Moment) -> Vec<(Ticket, Assignment)> {
+    pub fn dispatch(&mut self, now: Moment) -> Vec<(Ticket, Assignment)> {
         let mut started = Vec::new();
         for i in 0..self.services.len() {
             let key = ServiceKey(u32::try_from(i).expect("fewer than 2^32 services"));
@@ -308,15 +308,15 @@
     /// The team was charged the estimated service time at the start. An answered
     /// exchange is charged what it took beyond the present estimate, a failed one its
     /// whole time in addition, and an unsent one nothing more.
-    pub fn finish(&mut self, now: Moment, assignment: Assignment, completion: Exchange) {
+    pub fn finish(&mut self, now: Moment, assignment: Assignment, completion: Completion) {
         let took = now.since(assignment.at);
         let team = &mut self.teams[assignment.team.0 as usize];
         team.holding.release();
         let share = team.share;
-        if completion != Exchange::Unsent {
+        if completion != Completion::Unsent {
             team.slot_time += took;
         }
-        if completion == Exchange::Answered {
+        if completion == Completion::Answered {
             team.completed += 1;
         }
         self.settle_upstream(now, assignment.upstream, completion);
@@ -327,31 +327,31 @@
         service.running.retain(|_, running| *running > 0);
         let queue = &mut service.queue;
         match completion {
-            Exchange::Answered => {
+            Completion::Answered => {
                 let expected = queue.estimate(now);
                 queue.charge(assignment.team, took.saturating_sub(expected), share);
                 queue.sample(now, took);
             }
-            Exchange::Failed => queue.charge(assignment.team, took, share),
-            Exchange::Unsent => {}
+            Completion::Failed => queue.charge(assignment.team, took, share),
+            Completion::Unsent => {}
         }
     }
 
-    fn settle_upstream(&mut self, now: Moment, key: UpstreamKey, completion: Exchange) {
+    fn settle_upstream(&mut self, now: Moment, key: UpstreamKey, completion: Completion) {
         let Some(upstream) = self.upstreams.get_mut(&key) else {
             return;
         };
         upstream.holding.release();
         match completion {
-            Exchange::Answered => upstream.record_success(),
-            Exchange::Failed => upstream.record_failure(now),
-            Exchange::Unsent => {}
+            Completion::Answered => upstream.record_success(),
+            Completion::Failed => upstream.record_failure(now),
+            Completion::Unsent => {}
         }
         self.refresh_index(key);
     }
 
     /// Suspends an upstream before the exchange with it has ended.
-    pub fn suspect(&mut self, now: Moment, key: UpstreamKey) {
+    pub fn suspend(&mut self, now: Moment, key: UpstreamKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.record_failure(now);
         }
--- a/src/core/gate/types.rs
+++ b/src/core/gate/types.rs
@@ -105,7 +105,7 @@
 
 /// How an exchange with an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exchange {
+pub enum Completion {
     /// A complete answer was received.
     Answered,
     /// The exchange failed or timed out.
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -82,7 +82,7 @@
         remote: bool,
     ) -> Self {
         Self {
-            resource: cell_of(&announcement),
+            resource: resource_of(&announcement),
             announcement,
             service,
             source,
@@ -123,7 +123,7 @@
 
 /// Returns the identifier under which the slots of one incarnation of an upstream are
 /// allotted.
-pub fn cell_of(announcement: &Announcement) -> ResourceId {
+pub fn resource_of(announcement: &Announcement) -> ResourceId {
     let name = format!(
         "{}/{}/{}",
         announcement.zone, announcement.name, announcement.incarnation
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -10,7 +10,7 @@
 use super::pool::Connection;
 use super::proxy::{Incoming, Outcome, Proxy, Responder, SENDER_HEADER, idle_limit, is_hop_header};
 use super::reply::{ErrorResponse, REQUEST_ID};
-use crate::core::gate::{Announcement, Assignment, Exchange};
+use crate::core::gate::{Announcement, Assignment, Completion};
 use crate::error::Kind;
 use crate::event::Event;
 
@@ -20,17 +20,17 @@
     pub(super) fn release(&self, assignment: Assignment, outcome: &Outcome) {
         let traffic = Arc::clone(&self.node.traffic);
         match outcome {
-            Outcome::Answered(_) => traffic.finish(assignment, Exchange::Answered),
+            Outcome::Answered(_) => traffic.finish(assignment, Completion::Answered),
             Outcome::Failed(_, _, Some(until)) => {
                 traffic.suspend(assignment.upstream);
                 let until = *until;
                 self.tasks.spawn(async move {
                     sleep_until(until).await;
-                    traffic.finish(assignment, Exchange::Failed);
+                    traffic.finish(assignment, Completion::Failed);
                 });
             }
             Outcome::Unsent(_) | Outcome::Failed(_, _, None) => {
-                traffic.finish(assignment, Exchange::Failed);
+                traffic.finish(assignment, Completion::Failed);
             }
         }
     }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -11,7 +11,7 @@
 use crate::clock::{Clock, wall_millis};
 use crate::config::{Config, StaleKeys};
 use crate::core::gate::{
-    Admission, Assignment, Exchange, Gate, Refusal, Request, ServiceKey, TeamKey, Ticket,
+    Admission, Assignment, Completion, Gate, Refusal, Request, ServiceKey, TeamKey, Ticket,
     UpstreamKey,
 };
 use crate::core::registry::{InstanceId, Key};
@@ -242,12 +242,12 @@
     }
 
     /// Releases the slot of an assignment and dispatches waiting requests.
-    pub fn finish(&self, assignment: Assignment, exchange: Exchange) {
+    pub fn finish(&self, assignment: Assignment, exchange: Completion) {
         let now = self.clock.now();
         let mut gate = self.gate.lock().expect("gate lock");
         gate.finish(now, assignment, exchange);
         drop(gate);
-        if exchange == Exchange::Answered {
+        if exchange == Completion::Answered {
             self.budget.lock().expect("budget lock").record_success();
         }
         self.dispatch();
@@ -256,7 +256,7 @@
     /// Suspends an upstream that has not answered in time.
     pub fn suspend(&self, upstream: UpstreamKey) {
         let now = self.clock.now();
-        self.gate.lock().expect("gate lock").suspect(now, upstream);
+        self.gate.lock().expect("gate lock").suspend(now, upstream);
     }
 
     /// Dispatches waiting requests for which there is capacity.
@@ -264,7 +264,7 @@
         loop {
             let now = self.clock.now();
             let mut gate = self.gate.lock().expect("gate lock");
-            let started = gate.pump(now);
+            let started = gate.dispatch(now);
             if started.is_empty() {
                 return;
             }
@@ -280,7 +280,7 @@
             }
             drop(waiters);
             for assignment in &undelivered {
-                gate.finish(now, *assignment, Exchange::Unsent);
+                gate.finish(now, *assignment, Completion::Unsent);
             }
             if undelivered.is_empty() {
                 return;
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -6,8 +6,8 @@
 
 use plantaincross::core::claim::{Answer, Id, Record, State, Table, Verdict};
 use plantaincross::core::gate::{
-    Admission, Announcement, Assignment, Exchange, Gate, Request, ServiceKey, SourceKey, TeamKey,
-    Ticket, cell_of,
+    Admission, Announcement, Assignment, Completion, Gate, Request, ServiceKey, SourceKey, TeamKey,
+    Ticket, resource_of,
 };
 use plantaincross::core::registry::InstanceId;
 use plantaincross::core::retry::{Budget, backoff};
@@ -60,7 +60,7 @@
                 slots,
                 connections: 64,
             };
-            let cell = cell_of(&announcement);
+            let cell = resource_of(&announcement);
             gate.put_upstream(announcement, source, false);
             gate.receive_slots(cell, u64::from(slots));
         }
@@ -93,7 +93,7 @@
             let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| r.0 <= now);
             running = rest;
             for (_, assignment, team) in ended {
-                self.gate.finish(now, assignment, Exchange::Answered);
+                self.gate.finish(now, assignment, Completion::Answered);
                 completed[team] += 1;
             }
             for team in 0..depth.len() {
@@ -115,7 +115,7 @@
                     }
                 }
             }
-            for (ticket, assignment) in self.gate.pump(now) {
+            for (ticket, assignment) in self.gate.dispatch(now) {
                 let team = waiting.remove(&ticket).expect("waits");
                 counts[team] -= 1;
                 running.push((now + service, assignment, team));
@@ -172,11 +172,11 @@
             };
             tickets.push(ticket);
         }
-        harness.gate.finish(START, first, Exchange::Unsent);
+        harness.gate.finish(START, first, Completion::Unsent);
         let mut order = Vec::new();
         while let Some((ticket, assignment)) = harness.gate.start_next(START, harness.service) {
             order.push(tickets.iter().position(|t| *t == ticket).expect("known"));
-            harness.gate.finish(START, assignment, Exchange::Unsent);
+            harness.gate.finish(START, assignment, Completion::Unsent);
         }
         assert_eq!(order, [1, 2, 0]);
     }
@@ -195,7 +195,7 @@
             let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| r.0 <= now);
             running = rest;
             for (end, deadline, assignment, worth) in ended {
-                harness.gate.finish(now, assignment, Exchange::Answered);
+                harness.gate.finish(now, assignment, Completion::Answered);
                 gained += if end <= deadline { worth } else { 0 };
             }
             for ticket in harness.gate.expire(now) {
@@ -212,7 +212,7 @@
                     Admission::Refuse(_) => {}
                 }
             }
-            for (ticket, assignment) in harness.gate.pump(now) {
+            for (ticket, assignment) in harness.gate.dispatch(now) {
                 let (deadline, worth) = waiting.remove(&ticket).expect("waits");
                 running.push((now + service, deadline, assignment, worth));
             }
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -10,7 +10,7 @@
 use plantaincross::core::allocator::{Heartbeat, Seen};
 use plantaincross::core::consensus::Stored;
 use plantaincross::core::control::{Answer, Control, Effect, Identity, Input, Peer, Query, Target};
-use plantaincross::core::gate::{Admission, Announcement, Assignment, Exchange, Gate, Request};
+use plantaincross::core::gate::{Admission, Announcement, Assignment, Completion, Gate, Request};
 use plantaincross::core::registry::{Command, InstanceId, Key, Outcome};
 use plantaincross::core::time::Moment;
 use rand::{RngExt, SeedableRng};
@@ -320,7 +320,7 @@
         let started = {
             let mut gate = self.instances[at].gate.lock().expect("gate");
             gate.expire(now);
-            gate.pump(now)
+            gate.dispatch(now)
         };
         for (_, assignment) in started {
             self.send_request(at, assignment);
@@ -399,7 +399,7 @@
                 .gate
                 .lock()
                 .expect("gate")
-                .finish(now, run.assignment, Exchange::Answered);
+                .finish(now, run.assignment, Completion::Answered);
             self.completed += 1;
         }
     }
@@ -754,7 +754,7 @@
                     instance.name, instance.id, u.holding
                 ));
             }
-            for h in control.allocator().into_iter().flat_map(|o| o.hosts()) {
+            for h in control.allocator().into_iter().flat_map(|o| o.upstreams()) {
                 if h.announcement().name == upstream {
                     lines.push(format!("allocator {}: {:?}", instance.name, h));
                 }
