--- a/src/core/plane/lead/ask.rs
+++ b/src/core/plane/lead/ask.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use super::io::Effect;
-use super::permits::{SLOW_REQUEST_MIN, expected, named_count};
-use super::place::{Candidate, Seats};
+use super::permits::{SLOW_REQUEST_MIN, batch_size, expected_duration};
+use super::place::{Requirement, Targets};
 use super::{Lead, Now};
 use crate::core::plane::plan::Permission;
 use crate::core::plane::state::State;
@@ -47,10 +47,10 @@
     pub(super) fn permitted_workers(
         &self,
         step: StepName,
-        targets: &Seats,
+        targets: &Targets,
     ) -> Option<Vec<WorkerKey>> {
-        let known = self.permits.known(step)?;
-        let permitted = known.good.keys().copied();
+        let known = self.permits.for_step(step)?;
+        let permitted = known.permitted.keys().copied();
         let permitted: Vec<WorkerKey> = permitted
             .filter(|&key| targets.get(key).is_some())
             .collect();
@@ -68,16 +68,16 @@
         now: Now,
         state: &State,
         step: StepName,
-        required: &Candidate,
+        required: &Requirement,
         terms: Permission,
         eligible: &[WorkerKey],
-        targets: &Seats,
+        targets: &Targets,
         existing: &HashMap<WorkerKey, u16>,
         wanted: usize,
     ) {
         let is_gang = is_gang(state, step);
-        let batch = named_count(terms, is_gang);
-        let is_slow = expected(terms, batch) >= SLOW_REQUEST_MIN;
+        let batch = batch_size(terms, is_gang);
+        let is_slow = expected_duration(terms, batch) >= SLOW_REQUEST_MIN;
         if self.permits.is_waiting(now.at, step) || !self.permits.has_requester(now.at, is_slow) {
             return;
         }
@@ -134,22 +134,22 @@
         &self,
         now: Now,
         step: StepName,
-        required: &Candidate,
+        required: &Requirement,
         wanted: usize,
         eligible: &[WorkerKey],
-        targets: &Seats,
+        targets: &Targets,
         existing: &HashMap<WorkerKey, u16>,
         is_gang: bool,
     ) -> Selection {
-        let known = self.permits.known(step);
-        let Some(known) = known.filter(|k| !k.good.is_empty() || !k.denied.is_empty()) else {
+        let known = self.permits.for_step(step);
+        let Some(known) = known.filter(|k| !k.permitted.is_empty() || !k.denied.is_empty()) else {
             return Selection::Sample(eligible.to_vec(), wanted * FIRST_REQUEST_SLOTS_PER_TASK);
         };
         let (permitted, others): (Vec<WorkerKey>, Vec<WorkerKey>) = eligible
             .iter()
             .copied()
             .filter(|key| !known.denied.contains(key))
-            .partition(|key| known.good.contains_key(key));
+            .partition(|key| known.permitted.contains_key(key));
         let fitting = targets.find(required, wanted, &permitted, existing);
         if is_gang {
             return self.select_for_gang(
@@ -170,7 +170,7 @@
         &self,
         now: Now,
         step: StepName,
-        targets: &Seats,
+        targets: &Targets,
         find: &dyn Fn(&[WorkerKey]) -> Vec<WorkerKey>,
         fitting: Vec<WorkerKey>,
         permitted: &[WorkerKey],
@@ -202,9 +202,9 @@
         &self,
         now: Now,
         step: StepName,
-        required: &Candidate,
+        required: &Requirement,
         wanted: usize,
-        targets: &Seats,
+        targets: &Targets,
         fitting: Vec<WorkerKey>,
         permitted: &[WorkerKey],
         others: Vec<WorkerKey>,
@@ -239,7 +239,7 @@
         &self,
         now: Now,
         step: StepName,
-        targets: &Seats,
+        targets: &Targets,
         mut fitting: Vec<WorkerKey>,
         permitted: &[WorkerKey],
         spare: impl Fn(&[WorkerKey]) -> usize,
@@ -260,7 +260,7 @@
 // Returns the permitted workers other than `fitting`, those with the most free processors
 // first.
 fn others_by_free_cpu(
-    targets: &Seats,
+    targets: &Targets,
     permitted: &[WorkerKey],
     fitting: &[WorkerKey],
 ) -> Vec<WorkerKey> {
@@ -274,8 +274,8 @@
 // Orders workers with room first, and otherwise by a hash of step and worker, which spreads
 // the steps over the workers.
 fn sort_for_sampling(
-    targets: &Seats,
-    required: &Candidate,
+    targets: &Targets,
+    required: &Requirement,
     step: StepName,
     named: &mut [WorkerKey],
 ) {
@@ -289,8 +289,8 @@
 // Returns the length of the shortest prefix of `named` that has room for `count` tasks, or
 // the whole length if they do not fit.
 fn prefix_with_room(
-    targets: &Seats,
-    required: &Candidate,
+    targets: &Targets,
+    required: &Requirement,
     named: &[WorkerKey],
     count: usize,
 ) -> usize {
--- a/src/core/plane/lead/mod.rs
+++ b/src/core/plane/lead/mod.rs
@@ -23,8 +23,8 @@
     Question, Refusal, Reply, Request, RunningRow, Work,
 };
 pub use order::{Rank, rank};
-pub use permits::{Permits, expected, named_count};
-pub use place::{Candidate, Seat, Seats};
+pub use permits::{Permits, batch_size, expected_duration};
+pub use place::{Requirement, Target, Targets};
 
 use super::job::Standing;
 use super::state::{Command, End, Start, State};
@@ -171,7 +171,7 @@
 
     /// Sets the instances that can send permission requests.
     pub fn set_askers(&mut self, askers: &[InstanceId]) {
-        self.permits.set_askers(askers);
+        self.permits.set_requesters(askers);
     }
 
     /// Performs everything that is due: inspections, stops, expiries and planning.
@@ -215,7 +215,7 @@
             ),
             Permission::Busy | Permission::NoAnswer => None,
         };
-        if let Some(finished) = self.permits.take(now.at, number, granted) {
+        if let Some(finished) = self.permits.record_answer(now.at, number, granted) {
             self.note_permission(finished);
             self.dirty = true;
         }
@@ -306,7 +306,7 @@
         self.effects.push(Effect::Note(note));
     }
 
-    fn note_permission(&mut self, finished: permits::Finished) {
+    fn note_permission(&mut self, finished: permits::CompletedRequest) {
         self.note(Note::Permission {
             step: finished.step.to_string(),
             named: finished.named,
--- a/src/core/plane/lead/permits.rs
+++ b/src/core/plane/lead/permits.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct StepPermits {
     /// Workers that may run the step, with the latest permit, which may have expired.
-    pub good: BTreeMap<WorkerKey, Permit>,
+    pub permitted: BTreeMap<WorkerKey, Permit>,
     /// Workers that may not run the step.
     pub denied: BTreeSet<WorkerKey>,
     /// Number of requests in flight.
@@ -94,7 +94,7 @@
 
 /// A request that was answered, failed or timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Finished {
+pub struct CompletedRequest {
     /// Step that the request was for.
     pub step: StepName,
     /// Number of workers named in the request.
@@ -115,7 +115,7 @@
 
 /// Returns the number of workers to name in the first request of a step. Their cost is at
 /// most a set share of the fixed cost of the request.
-pub fn named_count(terms: Permission, gang: bool) -> usize {
+pub fn batch_size(terms: Permission, gang: bool) -> usize {
     if terms.each_ms <= 0.0 {
         return WORKERS_PER_REQUEST_MAX;
     }
@@ -129,14 +129,14 @@
 }
 
 /// Returns the expected duration of a request that names `named` workers.
-pub fn expected(terms: Permission, named: usize) -> Duration {
+pub fn expected_duration(terms: Permission, named: usize) -> Duration {
     let millis = terms.decide_ms + terms.each_ms * named as f64;
     Duration::from_micros((millis * 1_000.0) as u64)
 }
 
 impl Permits {
     /// Replaces the set of instances that can send requests.
-    pub fn set_askers(&mut self, instances: &[InstanceId]) {
+    pub fn set_requesters(&mut self, instances: &[InstanceId]) {
         self.requesters.retain(|id, _| instances.contains(id));
         for id in instances {
             self.requesters.entry(*id).or_insert(Requester {
@@ -147,13 +147,13 @@
     }
 
     /// Returns the answers and requests of a step, if it has any.
-    pub fn known(&self, step: StepName) -> Option<&StepPermits> {
+    pub fn for_step(&self, step: StepName) -> Option<&StepPermits> {
         self.steps.get(&step)
     }
 
     /// Returns the permit of a step for a worker, if it is valid at `now`.
     pub fn valid(&self, now: Moment, step: StepName, worker: WorkerKey) -> Option<&Permit> {
-        let permit = self.steps.get(&step)?.good.get(&worker)?;
+        let permit = self.steps.get(&step)?.permitted.get(&worker)?;
         (now < permit.expires_at).then_some(permit)
     }
 
@@ -176,7 +176,7 @@
             return Vec::new();
         };
         step_permits
-            .good
+            .permitted
             .iter()
             .filter(|(_, permit)| now < permit.expires_at)
             .map(|(&key, _)| key)
@@ -185,9 +185,9 @@
 
     /// Expires a permit that a worker refused. The worker still counts as permitted, so that
     /// the permit is requested again.
-    pub fn revoke(&mut self, step: StepName, worker: WorkerKey) {
+    pub fn invalidate(&mut self, step: StepName, worker: WorkerKey) {
         if let Some(step_permits) = self.steps.get_mut(&step)
-            && let Some(permit) = step_permits.good.get_mut(&worker)
+            && let Some(permit) = step_permits.permitted.get_mut(&worker)
         {
             permit.expires_at = Moment::ZERO;
         }
@@ -222,7 +222,8 @@
     /// at one half.
     pub fn grant_share(&self, step: StepName) -> f64 {
         let step_permits = self.steps.get(&step);
-        let (permitted, denied) = step_permits.map_or((0, 0), |p| (p.good.len(), p.denied.len()));
+        let (permitted, denied) =
+            step_permits.map_or((0, 0), |p| (p.permitted.len(), p.denied.len()));
         (permitted + 1) as f64 / (permitted + denied + 2) as f64
     }
 
@@ -240,7 +241,7 @@
         if named.is_empty() {
             return None;
         }
-        let cost = expected(terms, named.len().min(WORKERS_PER_REQUEST_MAX));
+        let cost = expected_duration(terms, named.len().min(WORKERS_PER_REQUEST_MAX));
         let is_slow = cost >= SLOW_REQUEST_MIN;
         let requester = self.choose_requester(now, is_slow)?;
         let entry = self.requesters.get_mut(&requester)?;
@@ -293,12 +294,12 @@
 
     /// Records the answer to a request; `None` for `granted` means that the request failed.
     /// Returns `None` if the request is unknown, for example after its timeout.
-    pub fn take(
+    pub fn record_answer(
         &mut self,
         now: Moment,
         number: u64,
         granted: Option<Vec<(WorkerKey, String)>>,
-    ) -> Option<Finished> {
+    ) -> Option<CompletedRequest> {
         let request = self.in_flight.remove(&number)?;
         let took = now.since(request.sent_at);
         if let Some(requester) = self.requesters.get_mut(&request.requester)
@@ -309,7 +310,7 @@
         }
         let step_permits = self.steps.entry(request.step).or_default();
         step_permits.in_flight = step_permits.in_flight.saturating_sub(1);
-        let finished = Finished {
+        let finished = CompletedRequest {
             step: request.step,
             named: request.workers.len(),
             granted: granted.as_ref().map(Vec::len),
@@ -326,20 +327,20 @@
         for worker in &request.workers {
             if !granted.iter().any(|(permitted, _)| permitted == worker) {
                 step_permits.denied.insert(*worker);
-                step_permits.good.remove(worker);
+                step_permits.permitted.remove(worker);
             }
         }
         for (worker, text) in granted {
             let expires_at = now + lifetime;
             step_permits
-                .good
+                .permitted
                 .insert(worker, Permit { text, expires_at });
         }
         Some(finished)
     }
 
     /// Fails the requests that have reached their timeout.
-    pub fn expire(&mut self, now: Moment) -> Vec<Finished> {
+    pub fn expire(&mut self, now: Moment) -> Vec<CompletedRequest> {
         let timed_out: Vec<u64> = self
             .in_flight
             .iter()
@@ -348,7 +349,7 @@
             .collect();
         timed_out
             .into_iter()
-            .filter_map(|number| self.take(now, number, None))
+            .filter_map(|number| self.record_answer(now, number, None))
             .collect()
     }
 }
--- a/src/core/plane/lead/place.rs
+++ b/src/core/plane/lead/place.rs
@@ -35,7 +35,7 @@
 
 /// A worker as a placement target.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seat {
+pub struct Target {
     /// Total capacity.
     pub capacity: Amount,
     /// Free capacity, available to urgent work.
@@ -58,7 +58,7 @@
 
 /// Resources and constraints of the tasks to place, all of one step.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Candidate {
+pub struct Requirement {
     /// Capacity that each task takes.
     pub resources: Amount,
     /// Whether the tasks may use capacity reserved for urgent work and for waiting gangs.
@@ -79,16 +79,16 @@
 
 /// The workers that may get work in one planning round.
 #[derive(Clone, Debug, Default)]
-pub struct Seats {
+pub struct Targets {
     /// Indexed by worker key; `None` for workers that get no work in this round.
-    targets: Vec<Option<Seat>>,
+    targets: Vec<Option<Target>>,
     /// Number of workers examined so far, which bounds the time of a round.
     examined: Cell<u32>,
 }
 
-impl Seats {
+impl Targets {
     /// Adds a worker, or replaces it if its key is already present.
-    pub fn insert(&mut self, worker: WorkerKey, target: Seat) {
+    pub fn insert(&mut self, worker: WorkerKey, target: Target) {
         let index = worker.0 as usize;
         if self.targets.len() <= index {
             self.targets.resize(index + 1, None);
@@ -97,16 +97,16 @@
     }
 
     /// Returns the worker with this key, if it may get work.
-    pub fn get(&self, worker: WorkerKey) -> Option<&Seat> {
+    pub fn get(&self, worker: WorkerKey) -> Option<&Target> {
         self.targets.get(worker.0 as usize)?.as_ref()
     }
 
-    fn get_mut(&mut self, worker: WorkerKey) -> Option<&mut Seat> {
+    fn get_mut(&mut self, worker: WorkerKey) -> Option<&mut Target> {
         self.targets.get_mut(worker.0 as usize)?.as_mut()
     }
 
     /// Iterates over the workers in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (WorkerKey, &Seat)> {
+    pub fn iter(&self) -> impl Iterator<Item = (WorkerKey, &Target)> {
         (0..)
             .map(WorkerKey)
             .zip(&self.targets)
@@ -125,7 +125,7 @@
     }
 
     /// Allocates the capacity for one task on a worker.
-    pub fn allocate(&mut self, worker: WorkerKey, required: &Candidate) {
+    pub fn allocate(&mut self, worker: WorkerKey, required: &Requirement) {
         if let Some(target) = self.get_mut(worker) {
             target.free -= required.resources;
             target.free_non_urgent -= required.resources;
@@ -134,7 +134,7 @@
         }
     }
 
-    fn fits(target: &Seat, required: &Candidate) -> bool {
+    fn fits(target: &Target, required: &Requirement) -> bool {
         let free = if required.urgent {
             &target.free
         } else {
@@ -147,7 +147,7 @@
     }
 
     /// Returns how many tasks fit in the free capacity of a worker.
-    pub fn fit_count(&self, worker: WorkerKey, required: &Candidate) -> usize {
+    pub fn fit_count(&self, worker: WorkerKey, required: &Requirement) -> usize {
         let Some(target) = self.get(worker) else {
             return 0;
         };
@@ -164,7 +164,7 @@
     }
 
     /// Returns how many tasks would fit on the workers if they were empty.
-    pub fn empty_fit_count(&self, workers: &[WorkerKey], required: &Candidate) -> usize {
+    pub fn empty_fit_count(&self, workers: &[WorkerKey], required: &Requirement) -> usize {
         self.add_examined(workers.len());
         let targets = workers.iter().filter_map(|&key| self.get(key));
         targets
@@ -177,7 +177,7 @@
     /// nothing.
     pub fn find(
         &self,
-        required: &Candidate,
+        required: &Requirement,
         count: usize,
         allowed: &[WorkerKey],
         existing: &HashMap<WorkerKey, u16>,
@@ -192,7 +192,7 @@
 
     fn find_on_single_rack(
         &self,
-        required: &Candidate,
+        required: &Requirement,
         count: usize,
         allowed: &[WorkerKey],
         existing: &HashMap<WorkerKey, u16>,
@@ -211,12 +211,12 @@
 
     fn find_anywhere(
         &self,
-        required: &Candidate,
+        required: &Requirement,
         count: usize,
         allowed: &[WorkerKey],
         existing: &HashMap<WorkerKey, u16>,
     ) -> Vec<WorkerKey> {
-        let mut targets: Vec<(WorkerKey, Seat, u16)> = allowed
+        let mut targets: Vec<(WorkerKey, Target, u16)> = allowed
             .iter()
             .filter_map(|&key| {
                 let target = self.get(key)?;
@@ -288,7 +288,7 @@
 
     /// Reserves capacity for `count` tasks that do not fit yet on the workers closest to
     /// fitting them, so that later work that is not urgent cannot use it.
-    pub fn reserve(&mut self, required: &Candidate, count: usize, allowed: &[WorkerKey]) {
+    pub fn reserve(&mut self, required: &Requirement, count: usize, allowed: &[WorkerKey]) {
         let mut closest: Vec<(i64, WorkerKey)> = allowed
             .iter()
             .filter_map(|&key| {
@@ -315,7 +315,7 @@
 }
 
 // Returns how many tasks fit in `room` if all of it is free.
-fn fit_count_in(capacity: &Amount, required: &Candidate) -> usize {
+fn fit_count_in(capacity: &Amount, required: &Requirement) -> usize {
     let part = |total: i64, each: i64| if each > 0 { total / each } else { i64::MAX };
     let max = part(capacity.cpu, required.resources.cpu)
         .min(part(capacity.memory, required.resources.memory))
@@ -326,7 +326,7 @@
 
 // Returns the placement cost of a worker, in thousandths of a core; lower is better. It is
 // the processors left free (best fit) plus penalties for remote data, slowness and failures.
-fn cost(target: &Seat, required: &Candidate) -> f64 {
+fn cost(target: &Target, required: &Requirement) -> f64 {
     let remaining = (target.free.cpu - required.resources.cpu) as f64;
     let remote = match required.data_rack {
         Some(r) if r != target.rack => (required.slowdown - 1.0).max(0.0) * REMOTE_COST_MILLICORES,
--- a/src/core/plane/lead/plan.rs
+++ b/src/core/plane/lead/plan.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::order::{Rank, Timing, rank};
-use super::place::{Candidate, Seat, Seats};
+use super::place::{Requirement, Target, Targets};
 use super::{Lead, Now};
 use crate::core::plane::job::{Job, Phase, StepSpec};
 use crate::core::plane::plan::Queue;
@@ -27,10 +27,10 @@
 
 /// State of one planning round.
 struct Round {
-    targets: Seats,
+    targets: Targets,
     /// Gangs to reserve capacity for: what each task takes, the number of tasks, and the
     /// workers they may run on.
-    reserves: Vec<(Candidate, usize, Vec<WorkerKey>)>,
+    reserves: Vec<(Requirement, usize, Vec<WorkerKey>)>,
     /// Processors reserved so far and their maximum, in thousandths of a core.
     reserved_cpu: i64,
     reserved_cpu_max: i64,
@@ -149,10 +149,10 @@
         rank(now.wall_ms, timing, queue.priority, over_share)
     }
 
-    fn targets(&mut self, now: Now, state: &State) -> Seats {
+    fn targets(&mut self, now: Now, state: &State) -> Targets {
         let urgent: i64 = self.channels.values().map(|c| c.urgent_cpu).sum();
         self.urgent_use = (self.urgent_use * (1.0 - URGENT_DECAY_PER_ROUND)).max(urgent as f64);
-        let mut targets = Seats::default();
+        let mut targets = Targets::default();
         for (&key, channel) in &self.channels {
             let worker = state.worker(key);
             if worker.gone || worker.report.draining || !channel.is_usable(now.at) {
@@ -160,7 +160,7 @@
             }
             let capacity = worker.report.capacity;
             let free = capacity - worker.used - channel.reserved;
-            let target = Seat {
+            let target = Target {
                 capacity,
                 free,
                 free_non_urgent: free,
@@ -221,7 +221,7 @@
         &self,
         waiting: &PendingStep,
         spec: &StepSpec,
-        required: &Candidate,
+        required: &Requirement,
         eligible: &[WorkerKey],
         round: &mut Round,
     ) {
@@ -285,7 +285,7 @@
         state: &State,
         name: StepName,
         found: &[WorkerKey],
-        required: &Candidate,
+        required: &Requirement,
         round: &mut Round,
     ) {
         let job = &state.jobs[&name.job];
@@ -371,8 +371,8 @@
     queue: &Queue,
     racks: &HashMap<String, u32>,
     slowdown: f64,
-) -> Candidate {
-    Candidate {
+) -> Requirement {
+    Requirement {
         resources: spec.room(),
         urgent: queue.priority == 0 || spec.lasting,
         data_rack: spec.data_rack.as_ref().and_then(|r| racks.get(r).copied()),
--- a/src/core/plane/lead/replies.rs
+++ b/src/core/plane/lead/replies.rs
@@ -108,7 +108,7 @@
     fn declined(&mut self, now: Now, state: &State, key: WorkerKey, task: TaskName, why: Declined) {
         let channel = self.channels.get_mut(&key).expect("known worker");
         match why {
-            Declined::Permit => self.permits.revoke(task.step, key),
+            Declined::Permit => self.permits.invalidate(task.step, key),
             Declined::Unhealthy | Declined::Malformed => {
                 if let Some(wait) = channel.record_failure(now.at, 1.0) {
                     let failures = channel.failures(now.at);
--- a/src/core/plane/lead/workers.rs
+++ b/src/core/plane/lead/workers.rs
@@ -205,8 +205,8 @@
             checkpoint: found.checkpoint.clone(),
             permit: self
                 .permits
-                .known(task.step)
-                .and_then(|known| known.good.get(&worker))
+                .for_step(task.step)
+                .and_then(|known| known.permitted.get(&worker))
                 .map(|permit| permit.text.clone()),
         };
         self.note(Note::Placed {
