--- a/src/cell/control/links.rs
+++ b/src/cell/control/links.rs
@@ -54,7 +54,7 @@
     pub(super) fn update_requesters(&mut self) {
         let requesters = self.requesters();
         if let Some((_, lead)) = &mut self.lead {
-            lead.set_askers(&requesters);
+            lead.set_requesters(&requesters);
         }
     }
 
--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -165,7 +165,7 @@
         match &mut self.lead {
             Some((_, lead)) => {
                 self.state.apply(command.clone());
-                let effects = lead.applied(now, &self.state, &command);
+                let effects = lead.handle_applied(now, &self.state, &command);
                 self.execute(effects);
             }
             None => self.state.apply(command),
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -26,7 +26,7 @@
 use crate::core::control::{Identity, Peer};
 use crate::core::plane::codec;
 use crate::core::plane::lead::{
-    Answer, Call, Effect, Lead, Note, Now, Order, Permission, Query, Question, Reply,
+    Answer, Call, Effect, Lead, Note, Now, Order, Permission, PermissionRequest, Query, Reply,
 };
 use crate::core::plane::state::{Command, State};
 use crate::core::registry::InstanceId;
@@ -366,7 +366,7 @@
             link.send(Body::LeaderHeartbeat(LeaderHeartbeat { term }));
         }
         let metrics = &self.metrics;
-        metrics.config_version.set(self.state.plan.version as i64);
+        metrics.config_version.set(self.state.config.version as i64);
         metrics.open_jobs.set(self.state.open.len() as i64);
         let workers = self.state.live_workers().count();
         metrics.workers.set(workers as i64);
@@ -441,7 +441,7 @@
         self.metrics.is_leader.set(1);
         let bounds = self.settings.bounds;
         let mut lead = Lead::new(self.now(), term, bounds, &self.state);
-        lead.set_askers(&self.requesters());
+        lead.set_requesters(&self.requesters());
         self.lead = Some((term, lead));
         self.next_leader_heartbeat_at = Moment::ZERO;
     }
@@ -481,7 +481,7 @@
             return;
         }
         if let Some((_, lead)) = &mut self.lead {
-            let effects = lead.ask(now, &self.state, call, query);
+            let effects = lead.handle_query(now, &self.state, call, query);
             self.execute(effects);
         }
     }
@@ -506,10 +506,10 @@
         };
         let effects = match result {
             TaskResult::Reply(of, number, reply) if of == *term => {
-                lead.reply(now, &self.state, number, reply)
+                lead.handle_reply(now, &self.state, number, reply)
             }
             TaskResult::Permission(of, number, permission) if of == *term => {
-                lead.permission(now, &self.state, number, permission)
+                lead.handle_permission(now, &self.state, number, permission)
             }
             // The request was made in an earlier term of this instance.
             TaskResult::Reply(..) | TaskResult::Permission(..) => return,
@@ -581,7 +581,7 @@
         });
     }
 
-    fn send_permission_request(&mut self, requester: InstanceId, request: Question) {
+    fn send_permission_request(&mut self, requester: InstanceId, request: PermissionRequest) {
         let Some((term, _)) = &self.lead else {
             return;
         };
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -21,7 +21,9 @@
 pub use control::start as start_control;
 pub use entry::{Entry, Leader, Outcome, start as start_entry};
 
-use crate::core::plane::lead::{Answer, Bounds, Order, Permission, Query, Question, Reply};
+use crate::core::plane::lead::{
+    Answer, Bounds, Order, Permission, PermissionRequest, Query, Reply,
+};
 use crate::net::Mesh;
 
 /// Interval of pings on a link: a fifth of the time without traffic after which the link
@@ -66,7 +68,7 @@
     /// Sends an order to a worker and returns its reply.
     fn order(&self, order: Order) -> impl Future<Output = Reply> + Send;
     /// Sends a permission request to the permission service and returns its response.
-    fn ask(&self, request: Question) -> impl Future<Output = Permission> + Send;
+    fn ask(&self, request: PermissionRequest) -> impl Future<Output = Permission> + Send;
 }
 
 /// Call from one instance to another, encoded with postcard.
@@ -75,7 +77,7 @@
     /// Query to the leader.
     Query(Query),
     /// Permission request that the receiver is to send to the permission service.
-    Permission(Question),
+    Permission(PermissionRequest),
 }
 
 /// Answer to a call, encoded with postcard.
--- a/src/core/plane/job.rs
+++ b/src/core/plane/job.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::types::{AccountKey, Amount, JobId, QueueKey, StepName, TaskName, WorkerKey};
+use super::types::{AccountKey, JobId, QueueKey, Resources, StepName, TaskName, WorkerKey};
 
 /// Step of a job as submitted by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -11,7 +11,7 @@
     /// Number of tasks.
     pub count: u16,
     /// Resources that each task needs.
-    pub need: Amount,
+    pub need: Resources,
     /// Caller's estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
     /// Indexes of earlier steps whose tasks must all be done first.
@@ -27,14 +27,14 @@
     /// Rack that holds the step's data.
     pub data_rack: Option<String>,
     /// Maximum number of this step's tasks on one worker; 0 means no limit.
-    pub most_per_worker: u16,
+    pub max_per_worker: u16,
     /// Whether the tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// Response time that a long-running task must give its own users, in milliseconds; 0
     /// if it has none.
     pub target_ms: u64,
     /// Whether the tasks use only processor time that other tasks leave idle.
-    pub filling: bool,
+    pub best_effort: bool,
     /// Number of long-running tasks that may be missing at the same time for reasons of
     /// the system.
     pub may_miss: u16,
@@ -43,9 +43,9 @@
 impl StepSpec {
     /// Returns what a task takes of a worker's capacity. Best-effort tasks reserve no
     /// processor time.
-    pub const fn room(&self) -> Amount {
+    pub const fn room(&self) -> Resources {
         let mut need = self.need;
-        if self.filling {
+        if self.best_effort {
             need.cpu = 0;
         }
         need
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// Returns a description of the first problem found.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("a job must have at least one step".to_owned());
         }
@@ -175,7 +175,7 @@
     /// Latest run of the gang that was counted as failed.
     pub gang_failed_run: u32,
     /// Whether a member of the gang has ended while others are still assigned to workers.
-    pub breaking: bool,
+    pub aborting: bool,
 }
 
 impl Step {
@@ -192,7 +192,7 @@
 
 /// State of a job as callers see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Status {
     /// No task has started.
     #[default]
     Queued,
@@ -206,7 +206,7 @@
     Cancelled,
 }
 
-impl Standing {
+impl Status {
     /// Returns whether the job has ended, so that none of its tasks is placed any more.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
@@ -225,7 +225,7 @@
     /// Time of acceptance, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
     /// State as callers see it.
-    pub standing: Standing,
+    pub status: Status,
     /// Steps of each occurrence; cleared when the job ends.
     pub occurrences: Vec<Vec<Step>>,
 }
@@ -252,7 +252,7 @@
             queue,
             account,
             accepted_ms,
-            standing: Standing::Queued,
+            status: Status::Queued,
             occurrences,
         }
     }
@@ -280,7 +280,7 @@
 
     /// Returns the estimated length of the critical path through the steps that are not
     /// done, or through all steps if `whole` is set, in milliseconds.
-    pub fn chain_ms(&self, occurrence: usize, whole: bool) -> u64 {
+    pub fn critical_path_ms(&self, occurrence: usize, whole: bool) -> u64 {
         if let [only] = self.submission.steps.as_slice() {
             return only.estimate_ms;
         }
--- a/src/core/plane/lead/channel.rs
+++ b/src/core/plane/lead/channel.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::core::plane::types::{Amount, TaskName, WorkerKey};
+use crate::core::plane::types::{Resources, TaskName, WorkerKey};
 use crate::core::time::Moment;
 
 /// A worker with an order unanswered for longer than this is unresponsive: its leases are
@@ -168,7 +168,7 @@
     /// Index that the leader assigned to the rack.
     pub rack: u32,
     /// Resources reserved for planned starts that are not yet committed.
-    pub reserved: Amount,
+    pub reserved: Resources,
     /// Failure score: one per failure, reduced by each success and over time.
     failures: f64,
     failures_at: Moment,
@@ -207,7 +207,7 @@
             serving: 0,
             filling: 0,
             rack,
-            reserved: Amount::default(),
+            reserved: Resources::default(),
             failures: 0.0,
             failures_at: now,
             exclusions: 0,
--- a/src/core/plane/lead/io.rs
+++ b/src/core/plane/lead/io.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::plane::job::{Standing, Submission};
+use crate::core::plane::job::{Status, Submission};
 use crate::core::plane::state::Command;
-use crate::core::plane::types::{How, StepName, TaskName, WorkerKey};
+use crate::core::plane::types::{StepName, TaskName, Termination, WorkerKey};
 use crate::core::plane::worker::Report;
 use crate::core::registry::InstanceId;
 
@@ -51,7 +51,7 @@
     /// Configuration to apply.
     Configure {
         /// Parsed configuration.
-        plan: Box<crate::core::plane::plan::Plan>,
+        plan: Box<crate::core::plane::plan::Config>,
         /// Configuration document as the operator sent it.
         document: Vec<u8>,
     },
@@ -65,7 +65,7 @@
     /// The change is committed.
     Done,
     /// State of a job.
-    Standing(Standing),
+    Standing(Status),
     /// Number of accepted jobs of a queue that have no started task.
     Pending(u64),
     /// The job does not exist.
@@ -148,7 +148,7 @@
     },
     /// Inspects the worker: requests its lists of current and ended runs and renews the
     /// lease.
-    Look {
+    Inspect {
         /// New lease expiry, in milliseconds on the worker's clock; `None` does not renew
         /// it.
         until: Option<u64>,
@@ -182,7 +182,7 @@
     /// Run number.
     pub run: u32,
     /// Result of the run.
-    pub how: How,
+    pub how: Termination,
     /// Latest checkpoint that the run saved.
     pub checkpoint: Option<Box<str>>,
 }
@@ -237,7 +237,7 @@
 
 /// Request to the permission service: which of these workers may run a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct PermissionRequest {
     /// Number of the request. The answer carries the same number.
     pub number: u64,
     /// Step to be run.
@@ -269,7 +269,7 @@
     /// Sends an order to a worker.
     Order(Order),
     /// Has an instance send a request to the permission service.
-    Ask(InstanceId, Question),
+    Ask(InstanceId, PermissionRequest),
     /// Writes an event to the event log.
     Note(Note),
 }
@@ -339,7 +339,7 @@
         /// Id of the worker.
         worker: String,
         /// Result of the run.
-        how: How,
+        how: Termination,
         /// How the leader learned of the end, such as from the worker's list or an
         /// expired lease.
         by: &'static str,
--- a/src/core/plane/lead/mod.rs
+++ b/src/core/plane/lead/mod.rs
@@ -19,16 +19,16 @@
 
 pub use channel::{Channel, Live, Reading};
 pub use io::{
-    Action, Answer, Call, Declined, Effect, EndRow, Lists, Note, Order, Permission, Query,
-    Question, Refusal, Reply, Request, RunningRow, Work,
+    Action, Answer, Call, Declined, Effect, EndRow, Lists, Note, Order, Permission,
+    PermissionRequest, Query, Refusal, Reply, Request, RunningRow, Work,
 };
 pub use order::{Rank, rank};
 pub use permits::{Permits, batch_size, expected_duration};
 pub use place::{Requirement, Target, Targets};
 
-use super::job::Standing;
+use super::job::Status;
 use super::state::{Command, End, Start, State};
-use super::types::{Amount, How, JobId, StepName, TaskName, WorkerKey};
+use super::types::{JobId, Resources, StepName, TaskName, Termination, WorkerKey};
 use super::worker::Worker;
 use crate::core::registry::InstanceId;
 use crate::core::time::{Moment, with_clock_margin};
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Maximum lease of a run.
-    pub hold: Duration,
+    pub max_lease: Duration,
     /// Maximum time that stopping a run takes.
-    pub stop: Duration,
+    pub max_stop: Duration,
     /// Factor by which a task is slower away from its data or spread over several racks.
-    pub far: f64,
+    pub far_factor: f64,
 }
 
 /// Current time on the clocks that decisions use.
@@ -79,10 +79,10 @@
     sent: HashMap<u64, io::Sent>,
     next_number: u64,
     /// Tasks whose start is proposed and not yet committed.
-    placing: HashMap<TaskName, WorkerKey>,
-    placing_steps: HashMap<StepName, u16>,
-    placing_use: HashMap<u32, Amount>,
-    reservations: HashMap<TaskName, (Amount, Amount, Option<u32>)>,
+    uncommitted_starts: HashMap<TaskName, WorkerKey>,
+    uncommitted_step_starts: HashMap<StepName, u16>,
+    uncommitted_usage: HashMap<u32, Resources>,
+    reservations: HashMap<TaskName, (Resources, Resources, Option<u32>)>,
     cancelling: HashSet<JobId>,
     submitting: HashMap<JobId, Vec<Call>>,
     /// Ends of runs to propose in the next round.
@@ -112,9 +112,9 @@
             permits: Permits::default(),
             sent: HashMap::new(),
             next_number: 0,
-            placing: HashMap::new(),
-            placing_steps: HashMap::new(),
-            placing_use: HashMap::new(),
+            uncommitted_starts: HashMap::new(),
+            uncommitted_step_starts: HashMap::new(),
+            uncommitted_usage: HashMap::new(),
             reservations: HashMap::new(),
             cancelling: HashSet::new(),
             submitting: HashMap::new(),
@@ -127,7 +127,7 @@
             effects: Vec::new(),
         };
         for (key, worker) in (0..).map(WorkerKey).zip(&state.workers) {
-            if worker.gone && worker.runs.is_empty() {
+            if worker.departed && worker.runs.is_empty() {
                 continue;
             }
             let rack = lead.rack(worker);
@@ -150,7 +150,7 @@
     /// Returns the time by which every run ordered until now has ended if its lease was
     /// not renewed.
     fn all_ended_by(&self, now: Moment) -> Moment {
-        now + with_clock_margin(with_clock_margin(self.bounds.hold)) + self.bounds.stop
+        now + with_clock_margin(with_clock_margin(self.bounds.max_lease)) + self.bounds.max_stop
     }
 
     fn rack(&mut self, worker: &Worker) -> u32 {
@@ -170,7 +170,7 @@
     }
 
     /// Sets the instances that can send permission requests.
-    pub fn set_askers(&mut self, askers: &[InstanceId]) {
+    pub fn set_requesters(&mut self, askers: &[InstanceId]) {
         self.permits.set_requesters(askers);
     }
 
@@ -186,21 +186,33 @@
     }
 
     /// Handles a query.
-    pub fn ask(&mut self, now: Now, state: &State, call: Call, query: Query) -> Vec<Effect> {
+    pub fn handle_query(
+        &mut self,
+        now: Now,
+        state: &State,
+        call: Call,
+        query: Query,
+    ) -> Vec<Effect> {
         self.process_query(now, state, call, query);
         self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
     /// Handles the reply to an order.
-    pub fn reply(&mut self, now: Now, state: &State, number: u64, reply: Reply) -> Vec<Effect> {
+    pub fn handle_reply(
+        &mut self,
+        now: Now,
+        state: &State,
+        number: u64,
+        reply: Reply,
+    ) -> Vec<Effect> {
         self.process_reply(now, state, number, reply);
         self.plan_if_due(now, state);
         std::mem::take(&mut self.effects)
     }
 
     /// Handles an answer of the permission service.
-    pub fn permission(
+    pub fn handle_permission(
         &mut self,
         now: Now,
         state: &State,
@@ -224,11 +236,11 @@
     }
 
     /// Handles a command of this term that was committed and applied to the state.
-    pub fn applied(&mut self, now: Now, state: &State, command: &Command) -> Vec<Effect> {
+    pub fn handle_applied(&mut self, now: Now, state: &State, command: &Command) -> Vec<Effect> {
         self.dirty = true;
         match command {
             Command::Configure { .. } => {
-                let version = state.plan.version;
+                let version = state.config.version;
                 self.note(Note::Configured { version });
             }
             Command::Register(report) => self.registered(now, state, &report.id),
@@ -260,7 +272,7 @@
         }
         let broken: BTreeSet<JobId> = ends
             .iter()
-            .filter(|end| end.how != How::Done)
+            .filter(|end| end.how != Termination::Done)
             .map(|end| end.task.step.job)
             .collect();
         for job in broken {
@@ -281,18 +293,18 @@
             };
             let took_ms = at_ms.saturating_sub(job.accepted_ms);
             let job_id = id.to_string();
-            match job.standing {
-                Standing::Completed => self.note(Note::JobCompleted {
+            match job.status {
+                Status::Completed => self.note(Note::JobCompleted {
                     job: job_id,
                     took_ms,
                 }),
-                Standing::Failed => self.note(Note::JobFailed {
+                Status::Failed => self.note(Note::JobFailed {
                     job: job_id,
                     took_ms,
                 }),
                 // Cancellation is logged when the request is handled; the other two are
                 // not final.
-                Standing::Cancelled | Standing::Queued | Standing::Running => {}
+                Status::Cancelled | Status::Queued | Status::Running => {}
             }
         }
     }
--- a/src/core/plane/lead/permits.rs
+++ b/src/core/plane/lead/permits.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::io::Question;
+use super::io::PermissionRequest;
 use crate::core::plane::plan::Permission;
 use crate::core::plane::types::{StepName, WorkerKey};
 use crate::core::registry::InstanceId;
@@ -237,7 +237,7 @@
         step: StepName,
         terms: Permission,
         named: Vec<(WorkerKey, String)>,
-    ) -> Option<(InstanceId, Question)> {
+    ) -> Option<(InstanceId, PermissionRequest)> {
         if named.is_empty() {
             return None;
         }
@@ -263,7 +263,7 @@
                 is_slow,
             },
         );
-        let question = Question {
+        let question = PermissionRequest {
             number,
             step,
             workers,
--- a/src/core/plane/lead/place.rs
+++ b/src/core/plane/lead/place.rs
@@ -9,7 +9,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap};
 
-use crate::core::plane::types::{Amount, WorkerKey};
+use crate::core::plane::types::{Resources, WorkerKey};
 
 /// Placement cost of a slow worker, in thousandths of a core, for each multiple of the
 /// expected run time by which the worker is slower.
@@ -37,12 +37,12 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Target {
     /// Total capacity.
-    pub capacity: Amount,
+    pub capacity: Resources,
     /// Free capacity, available to urgent work.
-    pub free: Amount,
+    pub free: Resources,
     /// Free capacity for work that is not urgent: excludes the reserves for urgent work and
     /// for waiting gangs, and is negative if they exceed what is free.
-    pub free_non_urgent: Amount,
+    pub free_non_urgent: Resources,
     /// Number of the worker's rack.
     pub rack: u32,
     /// Run time as a multiple of the expected run time.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Requirement {
     /// Capacity that each task takes.
-    pub resources: Amount,
+    pub resources: Resources,
     /// Whether the tasks may use capacity reserved for urgent work and for waiting gangs.
     pub urgent: bool,
     /// Rack that holds the step's data.
@@ -315,7 +315,7 @@
 }
 
 // Returns how many tasks fit in `room` if all of it is free.
-fn fit_count_in(capacity: &Amount, required: &Requirement) -> usize {
+fn fit_count_in(capacity: &Resources, required: &Requirement) -> usize {
     let part = |total: i64, each: i64| if each > 0 { total / each } else { i64::MAX };
     let max = part(capacity.cpu, required.resources.cpu)
         .min(part(capacity.memory, required.resources.memory))
--- a/src/core/plane/lead/plan.rs
+++ b/src/core/plane/lead/plan.rs
@@ -9,7 +9,7 @@
 use crate::core::plane::job::{Job, Phase, StepSpec};
 use crate::core::plane::plan::Queue;
 use crate::core::plane::state::{Start, State};
-use crate::core::plane::types::{Amount, StepName, TaskName, WorkerKey};
+use crate::core::plane::types::{Resources, StepName, TaskName, WorkerKey};
 use crate::core::share::{Claimant, divide};
 
 /// Maximum share of all processors reserved for waiting gangs. A larger reserve would leave
@@ -108,12 +108,16 @@
                         occurrence: k as u32,
                         step: at as u16,
                     };
-                    let placing = self.placing_steps.get(&name).copied().unwrap_or(0);
+                    let placing = self
+                        .uncommitted_step_starts
+                        .get(&name)
+                        .copied()
+                        .unwrap_or(0);
                     let count = step.waiting().saturating_sub(usize::from(placing));
-                    if count == 0 || step.breaking || !job.is_unblocked(k, at) {
+                    if count == 0 || step.aborting || !job.is_unblocked(k, at) {
                         continue;
                     }
-                    let rank = if job.submission.steps[at].lasting {
+                    let rank = if job.submission.steps[at].long_running {
                         Rank::long_running(due_ms.unwrap_or(job.accepted_ms))
                     } else {
                         self.rank(now, job, queue, k, due_ms, over_share)
@@ -141,8 +145,8 @@
         let ratio = self.ratio(&queue.name);
         let timing = Timing {
             since_ms: due_ms.unwrap_or(job.accepted_ms),
-            critical_path_ms: job.chain_ms(occurrence, true) as f64 * ratio,
-            remaining_ms: job.chain_ms(occurrence, false) as f64 * ratio,
+            critical_path_ms: job.critical_path_ms(occurrence, true) as f64 * ratio,
+            remaining_ms: job.critical_path_ms(occurrence, false) as f64 * ratio,
             stretch: queue.stretch,
             goal_ms: queue.goal_ms,
         };
@@ -155,7 +159,7 @@
         let mut targets = Targets::default();
         for (&key, channel) in &self.channels {
             let worker = state.worker(key);
-            if worker.gone || worker.report.draining || !channel.is_usable(now.at) {
+            if worker.departed || worker.report.draining || !channel.is_usable(now.at) {
                 continue;
             }
             let capacity = worker.report.capacity;
@@ -187,7 +191,7 @@
         let permitted = queue
             .permission
             .map(|_| self.permits.valid_workers(now.at, name));
-        let required = requirement(spec, queue, &self.racks, self.bounds.far);
+        let required = requirement(spec, queue, &self.racks, self.bounds.far_factor);
         if permitted.as_ref().is_some_and(Vec::is_empty) && self.permits.is_waiting(now.at, name) {
             self.reserve_room(waiting, spec, &required, &[], round);
             return;
@@ -243,8 +247,12 @@
             return count;
         };
         let cap = state.accounts[key.0 as usize].cap;
-        let planned = self.placing_use.get(&key.0).copied().unwrap_or_default();
-        let used = state.account_use[key.0 as usize] + planned;
+        let planned = self
+            .uncommitted_usage
+            .get(&key.0)
+            .copied()
+            .unwrap_or_default();
+        let used = state.account_usage[key.0 as usize] + planned;
         let fits = |n: &usize| (used + spec.need.times(*n as i64)).is_within_cap(&cap);
         if spec.gang {
             return if fits(&count) { count } else { 0 };
@@ -261,7 +269,7 @@
         spec: &StepSpec,
     ) -> HashMap<WorkerKey, u16> {
         let mut existing = HashMap::new();
-        if spec.most_per_worker == 0 {
+        if spec.max_per_worker == 0 {
             return existing;
         }
         let Some((_, step)) = state.jobs[&name.job].step(name) else {
@@ -272,7 +280,7 @@
                 *existing.entry(worker).or_insert(0) += 1;
             }
         }
-        for (task, worker) in &self.placing {
+        for (task, worker) in &self.uncommitted_starts {
             if task.step == name {
                 *existing.entry(*worker).or_insert(0) += 1;
             }
@@ -298,7 +306,7 @@
                 step: name,
                 index: *index,
             };
-            task.phase == Phase::Waiting && !self.placing.contains_key(&task_name)
+            task.phase == Phase::Waiting && !self.uncommitted_starts.contains_key(&task_name)
         });
         let pairs: Vec<(u16, u32, WorkerKey)> = indexes
             .zip(found)
@@ -325,30 +333,30 @@
         &mut self,
         task: TaskName,
         worker: WorkerKey,
-        room: Amount,
-        need: Amount,
+        room: Resources,
+        need: Resources,
         account: Option<u32>,
     ) {
-        self.placing.insert(task, worker);
+        self.uncommitted_starts.insert(task, worker);
         self.reservations.insert(task, (room, need, account));
-        *self.placing_steps.entry(task.step).or_insert(0) += 1;
+        *self.uncommitted_step_starts.entry(task.step).or_insert(0) += 1;
         if let Some(channel) = self.channels.get_mut(&worker) {
             channel.reserved += room;
         }
         if let Some(account) = account {
-            *self.placing_use.entry(account).or_default() += need;
+            *self.uncommitted_usage.entry(account).or_default() += need;
         }
     }
 
     /// Releases the reservation of a task once its start is committed.
     pub(super) fn unreserve(&mut self, task: TaskName) {
-        let Some(worker) = self.placing.remove(&task) else {
+        let Some(worker) = self.uncommitted_starts.remove(&task) else {
             return;
         };
-        if let Some(count) = self.placing_steps.get_mut(&task.step) {
+        if let Some(count) = self.uncommitted_step_starts.get_mut(&task.step) {
             *count -= 1;
             if *count == 0 {
-                self.placing_steps.remove(&task.step);
+                self.uncommitted_step_starts.remove(&task.step);
             }
         }
         let reservation = self.reservations.remove(&task);
@@ -359,7 +367,7 @@
             channel.reserved -= room;
         }
         if let Some(account) = account
-            && let Some(used) = self.placing_use.get_mut(&account)
+            && let Some(used) = self.uncommitted_usage.get_mut(&account)
         {
             *used -= need;
         }
@@ -374,13 +382,13 @@
 ) -> Requirement {
     Requirement {
         resources: spec.room(),
-        urgent: queue.priority == 0 || spec.lasting,
+        urgent: queue.priority == 0 || spec.long_running,
         data_rack: spec.data_rack.as_ref().and_then(|r| racks.get(r).copied()),
         slowdown,
-        max_per_worker: (spec.most_per_worker > 0).then_some(spec.most_per_worker),
+        max_per_worker: (spec.max_per_worker > 0).then_some(spec.max_per_worker),
         single_rack: spec.gang && spec.rack_sensitive,
         serving: spec.target_ms > 0,
-        best_effort: spec.filling,
+        best_effort: spec.best_effort,
     }
 }
 
@@ -412,7 +420,7 @@
 // Returns for each account whether it uses more than its weighted fair share of the
 // processors in use.
 fn over_share(state: &State) -> Vec<bool> {
-    let used: Vec<f64> = state.account_use.iter().map(|u| u.cpu as f64).collect();
+    let used: Vec<f64> = state.account_usage.iter().map(|u| u.cpu as f64).collect();
     let total: f64 = used.iter().sum();
     let claimants: Vec<Claimant> = state
         .accounts
--- a/src/core/plane/lead/replies.rs
+++ b/src/core/plane/lead/replies.rs
@@ -7,7 +7,7 @@
 use super::workers::{ACKNOWLEDGE_DELAY, ANSWER_TIMEOUT, INSPECT_RETRY};
 use super::{Lead, Now};
 use crate::core::plane::state::{Command, End, State};
-use crate::core::plane::types::{How, TaskName, WorkerKey};
+use crate::core::plane::types::{TaskName, Termination, WorkerKey};
 use crate::core::time::Moment;
 
 /// Maximum number of ends in one list; a list of this length may be incomplete.
@@ -143,7 +143,7 @@
                 live.stopped_at = Some(now.at);
             }
             if channel.inspection.is_none() {
-                channel.inspect_at = channel.inspect_at.min(now.at + self.bounds.stop);
+                channel.inspect_at = channel.inspect_at.min(now.at + self.bounds.max_stop);
             }
         }
     }
@@ -200,7 +200,7 @@
             now.at
         } else if channel.unexpected > 0 {
             // Stop orders for the unexpected runs are under way.
-            now.at + self.bounds.stop
+            now.at + self.bounds.max_stop
         } else if channel.committed_end > channel.acknowledged_end {
             now.at + ACKNOWLEDGE_DELAY
         } else {
@@ -293,7 +293,7 @@
         };
         let channel = self.channels.get_mut(&key).expect("known worker");
         match row.how {
-            How::Done if !spec.lasting => {
+            Termination::Done if !spec.long_running => {
                 let took = live
                     .confirmed_at
                     .map(|at| now.at.since(at).as_millis() as f64);
@@ -311,7 +311,7 @@
             }
             // Only the first failure of a task counts against its worker. Repeated
             // failures are assumed to be the task's fault.
-            How::Failed if task.failed == 0 => {
+            Termination::Failed if task.failed == 0 => {
                 if let Some(wait) = channel.record_failure(now.at, 1.0) {
                     let failures = channel.failures(now.at);
                     self.note_avoided(state, key, failures, wait);
--- a/src/core/plane/lead/requests.rs
+++ b/src/core/plane/lead/requests.rs
@@ -2,7 +2,7 @@
 
 use super::io::{Action, Answer, Call, Effect, Note, Query, Refusal, Request};
 use super::{Lead, Now};
-use crate::core::plane::job::{Standing, Submission};
+use crate::core::plane::job::{Status, Submission};
 use crate::core::plane::plan::Queue;
 use crate::core::plane::state::{Command, State};
 use crate::core::plane::types::{JobId, WorkerKey};
@@ -24,13 +24,13 @@
             Query::Report(report) => self.process_report(now, state, call, *report),
             Query::Depart(id) => self.process_departure(now, state, call, &id),
             Query::Configure { plan, document } => {
-                if let Err(err) = plan.check() {
+                if let Err(err) = plan.validate() {
                     let path = format!("configuration {}", plan.version);
                     self.note_refusal(state, path, err.to_string());
                     self.answer(call, Answer::Malformed(err.to_string()));
                     return;
                 }
-                if plan.version <= state.plan.version {
+                if plan.version <= state.config.version {
                     self.answer(call, Answer::Done);
                     return;
                 }
@@ -38,7 +38,7 @@
                 self.propose(command, vec![(call, Answer::Done)]);
             }
             Query::Configuration => {
-                let answer = if state.plan.version == 0 {
+                let answer = if state.config.version == 0 {
                     no_configuration()
                 } else {
                     Answer::Configuration(state.document.clone())
@@ -49,18 +49,18 @@
     }
 
     fn process_request(&mut self, now: Now, state: &State, call: Call, request: Request) {
-        if state.plan.version == 0 {
+        if state.config.version == 0 {
             self.refuse(state, call, &request, no_configuration());
             return;
         }
-        let Some(queue) = state.plan.queue_at(&request.host, &request.path) else {
+        let Some(queue) = state.config.queue_at(&request.host, &request.path) else {
             self.refuse(state, call, &request, Answer::NotFound);
             return;
         };
         let account = request
             .key
             .as_deref()
-            .and_then(|key| state.plan.account_of(key))
+            .and_then(|key| state.config.account_of(key))
             .map(|account| account.name.clone());
         if account.is_none() && !queue.open {
             self.refuse(state, call, &request, Answer::Unauthorized);
@@ -108,13 +108,13 @@
             queue: queue.name.clone(),
             account: account.clone(),
             repeated: repeated || self.submitting.contains_key(&id),
-            version: state.plan.version,
+            version: state.config.version,
         });
         if repeated {
             self.answer(call, Answer::Done);
             return;
         }
-        if let Err(err) = submission.check() {
+        if let Err(err) = submission.validate() {
             self.note_refusal(state, id.to_string(), err.clone());
             self.answer(call, Answer::Malformed(err));
             return;
@@ -172,8 +172,8 @@
             let same_incarnation = worker.report.born_ms == report.born_ms;
             let is_stale = !same_incarnation && !report.is_later(&worker.report)
                 || same_incarnation && report.sequence < worker.report.sequence;
-            let has_changes =
-                !(worker.gone || same_incarnation && report.equals_except_sequence(&worker.report));
+            let has_changes = !(worker.departed
+                || same_incarnation && report.equals_except_sequence(&worker.report));
             if let Some(channel) = self.channels.get_mut(&key)
                 && same_incarnation
             {
@@ -220,7 +220,7 @@
     }
 
     fn note_refusal(&mut self, state: &State, path: String, why: String) {
-        let version = state.plan.version;
+        let version = state.config.version;
         self.note(Note::Refused { path, why, version });
     }
 
@@ -241,7 +241,7 @@
 
 fn status_of(state: &State, id: JobId) -> Answer {
     match state.jobs.get(&id) {
-        Some(job) => Answer::Standing(job.standing),
+        Some(job) => Answer::Standing(job.status),
         None => Answer::Gone,
     }
 }
@@ -249,7 +249,7 @@
 fn pending(state: &State, queue: &Queue) -> u64 {
     let is_pending = |id: &&JobId| {
         let job = &state.jobs[id];
-        job.standing == Standing::Queued && state.queue(job.queue).name == queue.name
+        job.status == Status::Queued && state.queue(job.queue).name == queue.name
     };
     state.open.iter().filter(is_pending).count() as u64
 }
--- a/src/core/plane/lead/workers.rs
+++ b/src/core/plane/lead/workers.rs
@@ -5,9 +5,9 @@
 use super::channel::{Channel, Live, Traits};
 use super::io::{Effect, Note, Order, Sent, Work};
 use super::{Lead, Now};
-use crate::core::plane::job::{Phase, Standing};
+use crate::core::plane::job::{Phase, Status};
 use crate::core::plane::state::{Command, End, Start, State};
-use crate::core::plane::types::{How, JobId, StepName, TaskName, WorkerKey};
+use crate::core::plane::types::{JobId, StepName, TaskName, Termination, WorkerKey};
 
 /// Maximum time that a worker delays its reply to an inspection until a run ends. Each
 /// inspection renews the lease, so a worker that is cut off keeps its runs for the lease
@@ -49,14 +49,14 @@
         for key in keys {
             let worker = state.worker(key);
             let channel = self.channels.get_mut(&key).expect("listed above");
-            if worker.gone && channel.live().is_empty() {
+            if worker.departed && channel.live().is_empty() {
                 self.channels.remove(&key);
                 continue;
             }
             let departs = channel
                 .departing
                 .is_some_and(|at| now.at.since(at) > DEPART_AFTER);
-            if departs && !worker.gone {
+            if departs && !worker.departed {
                 channel.departing = Some(now.at + Duration::from_secs(2));
                 self.propose(Command::Depart(key), Vec::new());
                 continue;
@@ -68,7 +68,7 @@
             let channel = self.channels.get_mut(&key).expect("not removed above");
             let is_due = now.at >= channel.inspect_at
                 || channel.unanswered_since.is_none() && channel.needs_inspection(now.at);
-            if channel.inspection.is_none() && is_due && !worker.gone {
+            if channel.inspection.is_none() && is_due && !worker.departed {
                 self.inspect(now, state, key);
             }
             if check_runs {
@@ -115,7 +115,7 @@
     fn order(&mut self, now: Now, state: &State, key: WorkerKey, sent: Sent, work: Work) -> u64 {
         let number = self.number();
         let wait = match &work {
-            Work::Look { wait, .. } => *wait,
+            Work::Inspect { wait, .. } => *wait,
             _ => Duration::ZERO,
         };
         let report = &state.worker(key).report;
@@ -133,7 +133,7 @@
     }
 
     fn inspect(&mut self, now: Now, state: &State, key: WorkerKey) {
-        let hold = self.bounds.hold;
+        let hold = self.bounds.max_lease;
         let channel = self.channels.get_mut(&key).expect("known worker");
         // An unresponsive worker may still receive orders. Its lease is not renewed, so
         // that its runs expire and can start elsewhere.
@@ -163,7 +163,7 @@
             seen,
             at: now.at,
         };
-        let number = self.order(now, state, key, sent, Work::Look { until, seen, wait });
+        let number = self.order(now, state, key, sent, Work::Inspect { until, seen, wait });
         let channel = self.channels.get_mut(&key).expect("known worker");
         channel.inspection = Some(number);
     }
@@ -188,8 +188,8 @@
         channel.insert(task, live);
         self.places.insert((task, worker));
         let wanted = state.is_wanted(worker, task, run);
-        let until = channel.lease_end(now.at, self.bounds.hold);
-        let (Some(until), true, false) = (until, wanted, place.gone) else {
+        let until = channel.lease_end(now.at, self.bounds.max_lease);
+        let (Some(until), true, false) = (until, wanted, place.departed) else {
             self.end_as_void(state, worker, task, run, "not sent");
             return;
         };
@@ -303,7 +303,7 @@
             task,
             run,
             worker: from.unwrap_or(key),
-            how: How::Void,
+            how: Termination::Void,
             checkpoint: None,
         });
         self.dirty = true;
@@ -311,7 +311,7 @@
             task: task.to_string(),
             run,
             worker: state.worker(key).report.id.clone(),
-            how: How::Void,
+            how: Termination::Void,
             by,
         });
     }
@@ -439,7 +439,7 @@
             .channels
             .keys()
             .copied()
-            .filter(|&other| state.worker(other).gone)
+            .filter(|&other| state.worker(other).departed)
             .collect();
         for other in ended {
             self.replace(now, state, other, key);
@@ -463,7 +463,7 @@
     let Some((spec, _, _)) = job.and_then(|j| j.task(task)) else {
         return false;
     };
-    if spec.lasting || spec.filling || progress.percent >= 100 {
+    if spec.long_running || spec.best_effort || progress.percent >= 100 {
         return false;
     }
     let share = Duration::from_millis((spec.estimate_ms as f64 * STUCK_SHARE) as u64);
@@ -487,14 +487,14 @@
     Traits {
         urgent_cpu: if is_urgent { cpu } else { 0 },
         serving: spec.target_ms > 0,
-        filling: spec.filling,
+        filling: spec.best_effort,
     }
 }
 
 // Returns whether a run ends without a stop order, as the members of a completed gang do.
 fn ends_by_itself(state: &State, task: TaskName) -> bool {
     state.jobs.get(&task.step.job).is_none_or(|job| {
-        job.standing == Standing::Completed
+        job.status == Status::Completed
             || job
                 .task(task)
                 .is_some_and(|(_, _, found)| found.phase == Phase::Done)
--- a/src/core/plane/plan.rs
+++ b/src/core/plane/plan.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
 
-use super::types::Amount;
+use super::types::Resources;
 
 /// Cost and validity of permits for the workers of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -70,7 +70,7 @@
     /// Fair-share weight when all resources are in use.
     pub weight: u64,
     /// Maximum resources in use at any time; 0 means no limit.
-    pub cap: Amount,
+    pub cap: Resources,
 }
 
 /// Limits on the size of callers' requests.
@@ -95,7 +95,7 @@
 /// Configuration of the task plane in one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Plan {
+pub struct Config {
     /// Version. The highest one applies; 0 means that none was received.
     pub version: u64,
     /// Queues that accept jobs.
@@ -143,13 +143,13 @@
     },
 }
 
-impl Plan {
+impl Config {
     /// Checks the consistency rules that the types alone do not ensure.
     ///
     /// # Errors
     ///
     /// Returns the first violation found.
-    pub fn check(&self) -> Result<(), Invalid> {
+    pub fn validate(&self) -> Result<(), Invalid> {
         let services: HashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut places = HashSet::new();
         for queue in &self.queues {
--- a/src/core/plane/state.rs
+++ b/src/core/plane/state.rs
@@ -4,9 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::job::{Job, Phase, Standing, Step, Submission, Task};
-use super::plan::{Account, Plan, Queue};
-use super::types::{AccountKey, Amount, How, JobId, QueueKey, TaskName, WorkerKey};
+use super::job::{Job, Phase, Status, Step, Submission, Task};
+use super::plan::{Account, Config, Queue};
+use super::types::{AccountKey, JobId, QueueKey, Resources, TaskName, Termination, WorkerKey};
 use super::worker::{Report, Run, Worker};
 
 /// Time for which an ended job is kept, in milliseconds, so that a repeated submission
@@ -34,7 +34,7 @@
     /// Worker to which the run was assigned.
     pub worker: WorkerKey,
     /// Result of the run.
-    pub how: How,
+    pub how: Termination,
     /// Checkpoint that the run saved, if any.
     pub checkpoint: Option<Box<str>>,
 }
@@ -45,7 +45,7 @@
     /// Applies a configuration, unless the current version is the same or higher.
     Configure {
         /// Configuration to apply.
-        plan: Box<Plan>,
+        plan: Box<Config>,
         /// Configuration document as the operator sent it, returned on request.
         document: Vec<u8>,
     },
@@ -87,7 +87,7 @@
 #[serde(default)]
 pub struct State {
     /// Current configuration.
-    pub plan: Plan,
+    pub config: Config,
     /// Current configuration document as the operator sent it.
     pub document: Vec<u8>,
     /// Every version of every queue; indexed by [`QueueKey`].
@@ -95,7 +95,7 @@
     /// Client accounts, including removed ones; indexed by [`AccountKey`].
     pub accounts: Vec<Account>,
     /// Resources in use by each account, in the order of the accounts.
-    pub account_use: Vec<Amount>,
+    pub account_usage: Vec<Resources>,
     /// Open jobs, and ended ones within the retention time.
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that have not ended.
@@ -134,14 +134,14 @@
         (0..)
             .map(WorkerKey)
             .zip(&self.workers)
-            .filter(|(_, worker)| !worker.gone)
+            .filter(|(_, worker)| !worker.departed)
     }
 
     /// Returns the service whose workers run the jobs of a queue under the current
     /// configuration. A removed queue keeps the service it had last.
     pub fn service_of(&self, key: QueueKey) -> &str {
         let queue = self.queue(key);
-        let current = self.plan.queues.iter().find(|q| q.name == queue.name);
+        let current = self.config.queues.iter().find(|q| q.name == queue.name);
         &current.unwrap_or(queue).service
     }
 
@@ -151,13 +151,13 @@
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
         };
-        if job.standing.is_final() {
+        if job.status.is_final() {
             return false;
         }
         let Some((_, step, found)) = job.task(task) else {
             return false;
         };
-        found.run == run && found.phase == Phase::Placed(worker) && !step.breaking
+        found.run == run && found.phase == Phase::Placed(worker) && !step.aborting
     }
 
     /// Applies a committed command. Commands that no longer fit the state are ignored.
@@ -172,7 +172,7 @@
                 account,
                 at_ms,
             } => self.submit(*submission, &queue, account.as_deref(), at_ms),
-            Command::Cancel { job, at_ms } => self.finish(job, Standing::Cancelled, at_ms),
+            Command::Cancel { job, at_ms } => self.finish(job, Status::Cancelled, at_ms),
             Command::Progress {
                 ends,
                 starts,
@@ -188,8 +188,8 @@
         }
     }
 
-    fn configure(&mut self, plan: Plan, document: Vec<u8>) {
-        if plan.version <= self.plan.version {
+    fn configure(&mut self, plan: Config, document: Vec<u8>) {
+        if plan.version <= self.config.version {
             return;
         }
         for queue in &plan.queues {
@@ -206,9 +206,9 @@
                 None => self.accounts.push(account.clone()),
             }
         }
-        self.account_use
-            .resize(self.accounts.len(), Amount::default());
-        self.plan = plan;
+        self.account_usage
+            .resize(self.accounts.len(), Resources::default());
+        self.config = plan;
         self.document = document;
     }
 
@@ -224,7 +224,7 @@
             if !report.is_later(&known.report) {
                 return;
             }
-            known.gone = true;
+            known.departed = true;
         }
         let key = WorkerKey(self.workers.len() as u32);
         self.worker_keys.insert(report.id.clone(), key);
@@ -236,7 +236,7 @@
 
     fn depart(&mut self, worker: WorkerKey) {
         if let Some(worker) = self.workers.get_mut(worker.0 as usize) {
-            worker.gone = true;
+            worker.departed = true;
         }
     }
 
@@ -267,14 +267,14 @@
         }
     }
 
-    fn finish(&mut self, id: JobId, standing: Standing, at_ms: u64) {
+    fn finish(&mut self, id: JobId, standing: Status, at_ms: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.standing.is_final() {
+        if job.status.is_final() {
             return;
         }
-        job.standing = standing;
+        job.status = standing;
         job.trim();
         self.open.remove(&id);
         self.ended.push_back((at_ms, id));
@@ -288,7 +288,7 @@
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             return;
         };
-        if place.gone || job.standing.is_final() {
+        if place.departed || job.status.is_final() {
             return;
         }
         let Some(spec) = job.submission.steps.get(usize::from(task.step.step)) else {
@@ -312,12 +312,12 @@
         found.phase = Phase::Placed(worker);
         found.run = run;
         step.placed += 1;
-        if job.standing == Standing::Queued {
-            job.standing = Standing::Running;
+        if job.status == Status::Queued {
+            job.status = Status::Running;
         }
         place.used += record.room;
         if let Some(account) = record.account {
-            self.account_use[account.0 as usize] += record.need;
+            self.account_usage[account.0 as usize] += record.need;
         }
         place.runs.insert(task, record);
     }
@@ -332,7 +332,7 @@
         if let Some(record) = place.runs.remove(&end.task) {
             place.used -= record.room;
             if let Some(account) = record.account {
-                self.account_use[account.0 as usize] -= record.need;
+                self.account_usage[account.0 as usize] -= record.need;
             }
         }
         self.apply_end(end, at_ms);
@@ -344,14 +344,14 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.standing.is_final() {
+        if job.status.is_final() {
             return;
         }
         let attempts = self.queues[job.queue.0 as usize].attempts.max(1);
         let Some(spec) = job.submission.steps.get(usize::from(end.task.step.step)) else {
             return;
         };
-        let (gang, lasting) = (spec.gang, spec.lasting);
+        let (gang, lasting) = (spec.gang, spec.long_running);
         let Some(step) = step_mut(&mut job.occurrences, end.task) else {
             return;
         };
@@ -370,28 +370,28 @@
                 task.checkpoint = Some(saved);
             }
         }
-        let done = end.how == How::Done && !lasting;
+        let done = end.how == Termination::Done && !lasting;
         if gang && done {
             for task in &mut step.tasks {
                 task.phase = Phase::Done;
             }
             step.placed = 0;
             step.done = step.tasks.len() as u16;
-            step.breaking = false;
+            step.aborting = false;
         } else {
             release(step, index, done);
         }
         let mut failed = false;
-        if end.how == How::Failed {
+        if end.how == Termination::Failed {
             failed = count_failure(step, index, gang, end.run, attempts) && !lasting;
         }
         if gang && !done {
-            step.breaking = step.placed > 0;
+            step.aborting = step.placed > 0;
         }
         if failed {
-            self.finish(id, Standing::Failed, at_ms);
+            self.finish(id, Status::Failed, at_ms);
         } else if done && job.occurrences.iter().flatten().all(Step::is_done) {
-            self.finish(id, Standing::Completed, at_ms);
+            self.finish(id, Status::Completed, at_ms);
         }
     }
 }
--- a/src/core/plane/types.rs
+++ b/src/core/plane/types.rs
@@ -145,7 +145,7 @@
     Serialize,
     Deserialize,
 )]
-pub struct Amount {
+pub struct Resources {
     /// Processor time, in thousandths of a core.
     pub cpu: i64,
     /// Memory, in megabytes.
@@ -158,7 +158,7 @@
 /// within 64 bits.
 const AMOUNT_MAX: i64 = 1 << 40;
 
-impl Amount {
+impl Resources {
     /// Returns whether no resource is negative or above the maximum.
     pub fn is_in_range(&self) -> bool {
         let range = 0..=AMOUNT_MAX;
@@ -192,7 +192,7 @@
 /// Result of a run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display(rename_all = "snake_case")]
-pub enum How {
+pub enum Termination {
     /// The task succeeded.
     Done,
     /// The task or its worker reported an error.
--- a/src/core/plane/worker.rs
+++ b/src/core/plane/worker.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::types::{AccountKey, Amount, TaskName};
+use super::types::{AccountKey, Resources, TaskName};
 
 /// Self-description that a worker sends at intervals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     /// Whether the worker accepts no new runs.
     pub draining: bool,
     /// Total resources for runs.
-    pub capacity: Amount,
+    pub capacity: Resources,
     /// Labels; the last one names the rack.
     pub labels: Vec<String>,
     /// Sequence number of the report within the incarnation.
@@ -53,9 +53,9 @@
     /// Run number.
     pub run: u32,
     /// Share of the worker's capacity that the run takes.
-    pub room: Amount,
+    pub room: Resources,
     /// Resources counted towards the account's cap.
-    pub need: Amount,
+    pub need: Resources,
     /// Client account that the run is counted for.
     pub account: Option<AccountKey>,
 }
@@ -66,11 +66,11 @@
     /// Latest report that differs from the one before in more than its sequence number.
     pub report: Report,
     /// Whether this incarnation has ended. It never comes back.
-    pub gone: bool,
+    pub departed: bool,
     /// Runs whose start is in the log and whose end is not.
     pub runs: BTreeMap<TaskName, Run>,
     /// Capacity taken by the runs.
-    pub used: Amount,
+    pub used: Resources,
 }
 
 impl Worker {
--- a/tests/absurd.rs
+++ b/tests/absurd.rs
@@ -6,13 +6,13 @@
 
 use plantaincross::core::plane::job::{StepSpec, Submission};
 use plantaincross::core::plane::lead::{Action, Query};
-use plantaincross::core::plane::types::{Amount, JobId};
+use plantaincross::core::plane::types::{JobId, Resources};
 use plantaincross::core::plane::worker::Report;
 use support::{Cell, queue, tasks};
 
 fn cell() -> Cell {
     let queues = vec![queue("urgent", 0, None), queue("batch", 2, None)];
-    let mut cell = Cell::new(1, 4, queues, Amount::default());
+    let mut cell = Cell::new(1, 4, queues, Resources::default());
     cell.run_for(100);
     cell
 }
@@ -72,14 +72,14 @@
         s.steps[0].need = uniform(i64::MAX / 2);
     };
     extreme_long_running_tasks: |s| {
-        s.steps[0].lasting = true;
+        s.steps[0].long_running = true;
         s.steps[0].target_ms = u64::MAX;
         s.steps[0].may_miss = u16::MAX;
     };
 }
 
-const fn uniform(amount: i64) -> Amount {
-    Amount {
+const fn uniform(amount: i64) -> Resources {
+    Resources {
         cpu: amount,
         memory: amount,
         accelerators: amount,
--- a/tests/lasting.rs
+++ b/tests/lasting.rs
@@ -5,7 +5,7 @@
 
 use plantaincross::core::plane::job::StepSpec;
 use plantaincross::core::plane::plan::Permission;
-use plantaincross::core::plane::types::Amount;
+use plantaincross::core::plane::types::Resources;
 use support::{Cell, queue, tasks};
 
 const SLOW_PERMISSION: Permission = Permission {
@@ -30,9 +30,9 @@
         queue("live", 2, Some(SLOW_PERMISSION)),
         queue("batch", 3, None),
     ];
-    let mut cell = Cell::new(seed, workers, queues, Amount::default());
+    let mut cell = Cell::new(seed, workers, queues, Resources::default());
     cell.is_strict = true;
-    cell.askers = askers;
+    cell.requesters = askers;
     cell.take_over();
     cell.run_for(500);
     cell
@@ -40,9 +40,9 @@
 
 fn long_running(count: u16, cores: i64) -> StepSpec {
     StepSpec {
-        lasting: true,
+        long_running: true,
         may_miss: 1,
-        most_per_worker: 1,
+        max_per_worker: 1,
         ..tasks(count, cores, 400)
     }
 }
@@ -79,7 +79,7 @@
 fn a_step_with_a_limit_per_worker_finds_further_workers() {
     let mut cell = cell(1, 60, 13);
     let limited = StepSpec {
-        most_per_worker: 1,
+        max_per_worker: 1,
         ..tasks(15, 2, 10_000)
     };
     cell.submit("live", 1, vec![long_running(15, 2)], 2_000);
--- a/tests/plane.rs
+++ b/tests/plane.rs
@@ -5,9 +5,9 @@
 #[path = "support/plane.rs"]
 mod support;
 
-use plantaincross::core::plane::job::{Standing, StepSpec};
+use plantaincross::core::plane::job::{Status, StepSpec};
 use plantaincross::core::plane::plan::Permission;
-use plantaincross::core::plane::types::{Amount, JobId, StepName};
+use plantaincross::core::plane::types::{JobId, Resources, StepName};
 use support::{Cell, Faults, queue, tasks};
 
 const SLOW: Permission = Permission {
@@ -27,7 +27,7 @@
         queue("gang", 1, Some(SLOW)),
         queue("batch", 2, None),
     ];
-    let mut cell = Cell::new(seed, workers, queues, Amount::default());
+    let mut cell = Cell::new(seed, workers, queues, Resources::default());
     cell.run_for(100);
     cell
 }
@@ -66,7 +66,7 @@
             let mut first = tasks(1 + cell.draw(4) as u16, 1 + cell.draw(8) as i64, ms);
             match cell.draw(6) {
                 0 => first.label = Some(format!("half{}", cell.draw(2))),
-                1 => first.most_per_worker = 2,
+                1 => first.max_per_worker = 2,
                 _ => {}
             }
             let mut steps = vec![first];
@@ -156,9 +156,9 @@
 
 #[test]
 fn a_cap_holds_while_jobs_wait() {
-    let cap = Amount {
+    let cap = Resources {
         cpu: 10_000,
-        ..Amount::default()
+        ..Resources::default()
     };
     let mut cell = Cell::new(1, 4, vec![queue("batch", 2, None)], cap);
     cell.run_for(100);
@@ -389,7 +389,7 @@
     const WAIT_MAX_MS: u64 = RUN_MS / 2 + 250;
     let mut cell = cell(14, 120);
     cell.is_strict = true;
-    cell.askers = 40;
+    cell.requesters = 40;
     cell.take_over();
     cell.run_for(1_000);
     let mut sent = Vec::new();
@@ -434,7 +434,7 @@
     const WORKERS: u16 = 12;
     let mut cell = cell(18, usize::from(WORKERS));
     let full = StepSpec {
-        most_per_worker: 1,
+        max_per_worker: 1,
         ..tasks(WORKERS / 2, 24, 60_000)
     };
     cell.submit("batch", 1, vec![full], 60_000);
@@ -476,7 +476,7 @@
     // Fixed part of the shortest response-time goal.
     const WAIT_MAX_MS: u64 = 250;
     let mut cell = cell(15, 350);
-    cell.askers = 0;
+    cell.requesters = 0;
     cell.take_over();
     cell.run_for(500);
     for id in 1..=GANGS {
@@ -532,9 +532,9 @@
     }
     run_jobs(&mut cell, 60, 500);
     cell.run_for(30_000);
-    let standing = |job: &JobId| cell.state.jobs[job].standing;
+    let standing = |job: &JobId| cell.state.jobs[job].status;
     let jobs: Vec<JobId> = (1..=60).map(JobId).collect();
-    for expected in [Standing::Completed, Standing::Failed] {
+    for expected in [Status::Completed, Status::Failed] {
         assert!(jobs.iter().any(|job| standing(job) == expected));
     }
     for job in &jobs {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,7 +6,7 @@
 use plantaincross::core::plane::job::StepSpec;
 use plantaincross::core::plane::lead::Query;
 use plantaincross::core::plane::plan::{Permission, Queue};
-use plantaincross::core::plane::types::{Amount, JobId};
+use plantaincross::core::plane::types::{JobId, Resources};
 use plantaincross::core::plane::worker::Report;
 use support::{Cell, queue, tasks};
 
@@ -71,7 +71,7 @@
 
 impl Scenario {
     fn new(seed: u64) -> Self {
-        let mut cell = Cell::new(seed, 1_100, queues(), Amount::default());
+        let mut cell = Cell::new(seed, 1_100, queues(), Resources::default());
         for worker in &mut cell.workers {
             worker.report.capacity.memory = 64_000;
             worker.report.sequence += 1;
@@ -82,7 +82,7 @@
         }
         cell.run_for(100);
         cell.is_strict = true;
-        cell.askers = 153;
+        cell.requesters = 153;
         cell.take_over();
         cell.run_for(1_000);
         Self {
@@ -107,7 +107,7 @@
     fn step(&mut self, count: u16, cores: u64, memory: u64, ms: u64) -> StepSpec {
         let mut vary = |mean: u64| (mean / 2 + self.cell.draw(mean)) as i64;
         StepSpec {
-            need: Amount {
+            need: Resources {
                 cpu: vary(cores * 1_000),
                 memory: vary(memory),
                 accelerators: 0,
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use plantaincross::core::plane::job::StepSpec;
-use plantaincross::core::plane::types::{Amount, JobId};
+use plantaincross::core::plane::types::{JobId, Resources};
 use support::{Cell, queue, tasks};
 
 /// Number of workers in the fleet.
@@ -14,7 +14,7 @@
 
 fn cell_with_job(seed: u64, step: StepSpec) -> Cell {
     let queues = vec![queue("batch", 2, None)];
-    let mut cell = Cell::new(seed, WORKERS, queues, Amount::default());
+    let mut cell = Cell::new(seed, WORKERS, queues, Resources::default());
     cell.run_for(100);
     cell.submit("batch", 1, vec![step], RUN_MS);
     cell.run_for(1_000);
--- a/tests/support/plane.rs
+++ b/tests/support/plane.rs
@@ -6,14 +6,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use plantaincross::core::plane::job::{Standing, StepSpec, Submission};
+use plantaincross::core::plane::job::{Status, StepSpec, Submission};
 use plantaincross::core::plane::lead::{
     Action, Answer, Bounds, Call, Declined, Effect, EndRow, Lead, Lists, Note, Now, Order,
-    Permission, Query, Question, Reply, Request, RunningRow, Work,
+    Permission, PermissionRequest, Query, Reply, Request, RunningRow, Work,
 };
-use plantaincross::core::plane::plan::{self, Account, Plan, Queue, Service};
+use plantaincross::core::plane::plan::{self, Account, Config, Queue, Service};
 use plantaincross::core::plane::state::{Command, State};
-use plantaincross::core::plane::types::{Amount, How, JobId, StepName, TaskName};
+use plantaincross::core::plane::types::{JobId, Resources, StepName, TaskName, Termination};
 use plantaincross::core::plane::worker::Report;
 use plantaincross::core::registry::InstanceId;
 use plantaincross::core::time::Moment;
@@ -34,9 +34,9 @@
 /// runs, as promised to users.
 const DRAIN_GRACE_MS: u64 = 2_000;
 pub const BOUNDS: Bounds = Bounds {
-    hold: Duration::from_millis(6_000),
-    stop: Duration::from_millis(200),
-    far: 1.5,
+    max_lease: Duration::from_millis(6_000),
+    max_stop: Duration::from_millis(200),
+    far_factor: 1.5,
 };
 
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     began: u64,
     ends: u64,
     fails: bool,
-    room: Amount,
+    room: Resources,
 }
 
 /// Worker that follows the protocol, apart from injected faults.
@@ -85,13 +85,13 @@
         (now - self.born_at) * 98 / 100 + 1_000
     }
 
-    fn used(&self) -> Amount {
+    fn used(&self) -> Resources {
         self.runs
             .values()
-            .fold(Amount::default(), |sum, run| sum + run.room)
+            .fold(Resources::default(), |sum, run| sum + run.room)
     }
 
-    fn end(&mut self, task: TaskName, run: u32, how: How) {
+    fn end(&mut self, task: TaskName, run: u32, how: Termination) {
         self.runs.remove(&task);
         let last_ended = self.last_ended.entry(task).or_insert(0);
         *last_ended = (*last_ended).max(run);
@@ -143,7 +143,7 @@
     pub permission_requests: u64,
     /// Number of instances that can query the permission service, from the next leader
     /// on.
-    pub askers: u64,
+    pub requesters: u64,
     /// Whether one worker in three may run a step instead of two in three.
     pub is_strict: bool,
     /// Total time that the permission service spent on requests, in milliseconds.
@@ -160,7 +160,7 @@
     /// Number of runs that were stopped by an order.
     pub stops: u64,
     /// Outcome in the log event of each ended job.
-    pub job_outcomes: BTreeMap<String, Standing>,
+    pub job_outcomes: BTreeMap<String, Status>,
     events: BTreeMap<(u64, u64), Event>,
     open: BTreeSet<u64>,
     sequence: u64,
@@ -197,7 +197,7 @@
 }
 
 impl Cell {
-    pub fn new(seed: u64, workers: usize, queues: Vec<Queue>, cap: Amount) -> Self {
+    pub fn new(seed: u64, workers: usize, queues: Vec<Queue>, cap: Resources) -> Self {
         let mut cell = Self {
             now: START_MS,
             state: State::default(),
@@ -209,7 +209,7 @@
             answers: BTreeMap::new(),
             completed: BTreeMap::new(),
             permission_requests: 0,
-            askers: REQUESTERS,
+            requesters: REQUESTERS,
             is_strict: false,
             permission_ms: 0.0,
             first_start: BTreeMap::new(),
@@ -235,7 +235,7 @@
             cancelled: BTreeSet::new(),
         };
         cell.state.apply(Command::Configure {
-            plan: Box::new(Plan {
+            plan: Box::new(Config {
                 version: 1,
                 queues,
                 services: vec![Service {
@@ -248,7 +248,7 @@
                     weight: 10,
                     cap,
                 }],
-                ..Plan::default()
+                ..Config::default()
             }),
             document: Vec::new(),
         });
@@ -266,7 +266,7 @@
             service: "s".to_owned(),
             address: format!("10.0.0.1:{}", 1_000 + self.workers.len()),
             zone: "z".to_owned(),
-            capacity: Amount {
+            capacity: Resources {
                 cpu: 32_000,
                 memory: 128_000,
                 accelerators: 0,
@@ -327,8 +327,8 @@
         self.open.clear();
         self.term += 1;
         let mut lead = Lead::new(self.current_time(), self.term, BOUNDS, &self.state);
-        let askers: Vec<InstanceId> = (1..=self.askers).map(InstanceId).collect();
-        lead.set_askers(&askers);
+        let askers: Vec<InstanceId> = (1..=self.requesters).map(InstanceId).collect();
+        lead.set_requesters(&askers);
         self.lead = Some(lead);
     }
 
@@ -349,7 +349,7 @@
         let call = self.next_call;
         let now = self.current_time();
         if let Some(lead) = &mut self.lead {
-            let effects = lead.ask(now, &self.state, Call(call), query);
+            let effects = lead.handle_query(now, &self.state, Call(call), query);
             self.carry_out(effects);
         }
         call
@@ -396,7 +396,7 @@
         }
         for (step, spec) in (0..)
             .zip(&submission.steps)
-            .filter(|(_, spec)| spec.lasting)
+            .filter(|(_, spec)| spec.long_running)
         {
             let step = StepName {
                 job: id,
@@ -520,18 +520,18 @@
                 let is_known = self.state.worker_keys.contains_key(&worker);
                 assert!(is_known, "the log names the unknown worker {worker}");
             }
-            Note::JobCompleted { job, .. } => self.record_job_outcome(&job, Standing::Completed),
-            Note::JobFailed { job, .. } => self.record_job_outcome(&job, Standing::Failed),
+            Note::JobCompleted { job, .. } => self.record_job_outcome(&job, Status::Completed),
+            Note::JobFailed { job, .. } => self.record_job_outcome(&job, Status::Failed),
             _ => {}
         }
     }
 
-    fn record_job_outcome(&mut self, job: &str, standing: Standing) {
+    fn record_job_outcome(&mut self, job: &str, standing: Status) {
         let before = self.job_outcomes.insert(job.to_owned(), standing);
         assert_eq!(before, None, "the end of job {job} was logged twice");
     }
 
-    fn ask(&mut self, asker: u64, question: &Question) {
+    fn ask(&mut self, asker: u64, question: &PermissionRequest) {
         let cost = self.cost(question);
         self.permission_requests += 1;
         self.permission_ms += cost as f64;
@@ -555,7 +555,7 @@
         self.schedule(after, event);
     }
 
-    fn cost(&self, question: &Question) -> u64 {
+    fn cost(&self, question: &PermissionRequest) -> u64 {
         let queue = &self.state.jobs.get(&question.step.job).map(|job| job.queue);
         let terms = queue.and_then(|key| self.state.queue(key).permission);
         let terms = terms.unwrap_or_default();
@@ -582,7 +582,7 @@
                 }
                 let number = key & ((1 << 40) - 1);
                 if let Some(lead) = &mut self.lead {
-                    let effects = lead.reply(now, &self.state, number, reply);
+                    let effects = lead.handle_reply(now, &self.state, number, reply);
                     self.carry_out(effects);
                 }
             }
@@ -597,7 +597,7 @@
                 if term == self.term
                     && let Some(lead) = &mut self.lead
                 {
-                    let effects = lead.applied(now, &self.state, &command);
+                    let effects = lead.handle_applied(now, &self.state, &command);
                     self.carry_out(effects);
                 }
             }
@@ -605,7 +605,7 @@
                 if term == self.term
                     && let Some(lead) = &mut self.lead
                 {
-                    let effects = lead.permission(now, &self.state, number, permission);
+                    let effects = lead.handle_permission(now, &self.state, number, permission);
                     self.carry_out(effects);
                 }
             }
@@ -615,7 +615,7 @@
     fn record_failures(&mut self, command: &Command) {
         if let Command::Progress { ends, .. } = command {
             for end in ends {
-                if end.how == How::Failed {
+                if end.how == Termination::Failed {
                     *self.committed_failures.entry(end.task).or_insert(0) += 1;
                 }
             }
@@ -648,7 +648,7 @@
             return;
         }
         let clock = self.workers[at].clock(self.now);
-        let most = clock + BOUNDS.hold.as_millis() as u64;
+        let most = clock + BOUNDS.max_lease.as_millis() as u64;
         let fenced = order.fence < self.workers[at].fence;
         let worker = &mut self.workers[at];
         worker.fence = worker.fence.max(order.fence);
@@ -675,20 +675,20 @@
                 *last_ended = (*last_ended).max(*run);
                 if worker.runs.get(task).is_some_and(|r| r.run <= *run) {
                     let found = worker.runs[task].run;
-                    worker.end(*task, found, How::Stopped);
+                    worker.end(*task, found, Termination::Stopped);
                     self.stops += 1;
                     self.note_away(*task);
                 }
                 self.reply(order, at, Reply::Done(clock));
             }
-            Work::Look { until, seen, wait } if !fenced => {
+            Work::Inspect { until, seen, wait } if !fenced => {
                 if let Some(until) = until {
                     worker.deadline = worker.deadline.max((*until).min(most));
                 }
                 // An end that preceded a lease expiry may be unknown to the leader when
                 // it is acknowledged.
                 for end in worker.ended.iter().filter(|e| e.number <= *seen) {
-                    if end.how == How::Done && end.number > worker.expired_through {
+                    if end.how == Termination::Done && end.number > worker.expired_through {
                         self.acknowledged_done.insert(end.task);
                     }
                 }
@@ -704,7 +704,7 @@
                 let event = Event::Look(Box::new(order.clone()), at as u64, worker.born_at);
                 self.schedule(wait.min(until_end), event);
             }
-            Work::Stop { .. } | Work::Look { .. } => {}
+            Work::Stop { .. } | Work::Inspect { .. } => {}
         }
     }
 
@@ -766,7 +766,7 @@
         );
         let failed = self.committed_failures.get(&task).copied().unwrap_or(0);
         assert!(
-            spec.lasting || failed < 3,
+            spec.long_running || failed < 3,
             "{task} starts after {failed} failures"
         );
         let used = worker.used() + spec.room();
@@ -793,9 +793,9 @@
         let refused = matches!(self.answers.get(call), Some(Answer::Unavailable { .. }));
         assert!(!refused, "{task} starts although its job was refused");
         let cap = self.state.accounts[0].cap;
-        if cap != Amount::default() {
+        if cap != Resources::default() {
             let running = self.workers.iter().filter(|w| w.up);
-            let needed: Amount = running
+            let needed: Resources = running
                 .flat_map(|w| w.runs.values())
                 .fold(spec.need, |sum, run| sum + run.room);
             assert!(
@@ -811,8 +811,8 @@
         }
         let fails_at_random = self.rng.random_range(0..100) < self.workers[at].failure_percent;
         // One in ten long-running tasks fails after its run time.
-        let fails_at_end = spec.lasting && task.index.is_multiple_of(10);
-        let lasts = spec.lasting && !fails_at_end;
+        let fails_at_end = spec.long_running && task.index.is_multiple_of(10);
+        let lasts = spec.long_running && !fails_at_end;
         let worker = &mut self.workers[at];
         worker.deadline = worker.deadline.max(until);
         worker.starts += 1;
@@ -847,7 +847,7 @@
             spec.label
         );
         let beside = worker.runs.keys().filter(|other| other.step == task.step);
-        let most = usize::from(spec.most_per_worker);
+        let most = usize::from(spec.max_per_worker);
         let beside = beside.count();
         assert!(
             most == 0 || beside < most,
@@ -864,17 +864,17 @@
             if clock > worker.deadline {
                 worker.expired_through = worker.next_end;
             }
-            let over: Vec<(TaskName, u32, How)> = worker
+            let over: Vec<(TaskName, u32, Termination)> = worker
                 .runs
                 .iter()
                 .filter(|(_, run)| clock > worker.deadline || now >= run.ends)
                 .map(|(&task, run)| {
                     let how = if clock > worker.deadline {
-                        How::Lapsed
+                        Termination::Lapsed
                     } else if run.fails {
-                        How::Failed
+                        Termination::Failed
                     } else {
-                        How::Done
+                        Termination::Done
                     };
                     (task, run.run, how)
                 })
@@ -896,7 +896,7 @@
 
     fn note_away(&mut self, task: TaskName) {
         let spec = &self.sizes[&task.step.job][usize::from(task.step.step)];
-        if spec.lasting && !self.cancelled.contains(&task.step.job) {
+        if spec.long_running && !self.cancelled.contains(&task.step.job) {
             self.away.insert(task, self.now);
         }
     }
@@ -947,7 +947,7 @@
             return;
         }
         for (&id, job) in &self.state.jobs {
-            if job.standing == Standing::Completed {
+            if job.status == Status::Completed {
                 self.completed.entry(id).or_insert(self.now);
             }
         }
@@ -1004,7 +1004,7 @@
 pub fn tasks(count: u16, cores: i64, ms: u64) -> StepSpec {
     StepSpec {
         count,
-        need: Amount {
+        need: Resources {
             cpu: cores * 1_000,
             memory: 1_000,
             accelerators: 0,
