--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -167,8 +167,8 @@
 }
 
 fn grant_units(fleet: &mut Fleet) {
-    let _ = fleet.return_stock();
-    for (team, wanted) in fleet.wanted_units() {
+    let _ = fleet.take_available_units();
+    for (team, wanted) in fleet.missing_units() {
         fleet.add_units(&team, wanted, wanted);
     }
 }
@@ -245,7 +245,7 @@
         grant_units(&mut fleet);
         fleet.tick(START);
     }
-    fleet.workers().map(|w| w.stat().reserved.cpu_milli).sum()
+    fleet.workers().map(|w| w.status().reserved.cpu_milli).sum()
 }
 
 /// Packs tasks by first come, first fit and returns the used processors, in thousandths.
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -144,7 +144,7 @@
     /// Admission statistics of the teams at this instance.
     pub teams: Vec<TeamStat>,
     /// Workers of the zone, if the instance leads it.
-    pub workers: Vec<fleet::WorkerStat>,
+    pub workers: Vec<fleet::WorkerStatus>,
     /// Upstreams of the zone, if the instance leads it.
     pub upstreams: Vec<UpstreamStat>,
 }
@@ -320,7 +320,7 @@
                 .fleet
                 .iter()
                 .flat_map(|f| f.workers())
-                .map(fleet::Worker::stat)
+                .map(fleet::Worker::status)
                 .collect(),
             upstreams: self
                 .allocator
--- a/src/core/control/tasks.rs
+++ b/src/core/control/tasks.rs
@@ -97,13 +97,13 @@
         let (Some(allocator), Some(fleet)) = (&mut self.allocator, &mut self.fleet) else {
             return;
         };
-        for team in fleet.take_adopted() {
+        for team in fleet.take_adopted_teams() {
             allocator.adopt_task_units(&team, 1);
         }
-        for (team, units) in fleet.return_stock() {
+        for (team, units) in fleet.take_available_units() {
             allocator.release_task_units(&team, units);
         }
-        for (team, wanted) in fleet.wanted_units() {
+        for (team, wanted) in fleet.missing_units() {
             let units = allocator.reserve_task_units(now, &team, wanted);
             fleet.add_units(&team, units, wanted);
         }
@@ -113,7 +113,7 @@
         let (Some(allocator), Some(fleet)) = (&mut self.allocator, &mut self.fleet) else {
             return;
         };
-        for (team, units) in fleet.return_stock() {
+        for (team, units) in fleet.take_available_units() {
             allocator.release_task_units(&team, units);
         }
         let new = fleet.take_ended();
@@ -170,7 +170,7 @@
         let Some(fleet) = &mut self.fleet else {
             return;
         };
-        let mut due = fleet.take_woken();
+        let mut due = fleet.take_workers_to_notify();
         let waiting = self.waiting_polls.iter().filter(|(_, p)| now >= p.until);
         due.extend(waiting.map(|(name, _)| name.clone()));
         for name in due {
@@ -217,7 +217,7 @@
             return Answer::Failed(Error::from(Kind::NoQuorum));
         };
         Answer::Admission {
-            misfit: fleet.misfit(spec),
+            misfit: fleet.unplaceable_reason(spec),
             free_milli: free_milli(fleet),
         }
     }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -16,7 +16,7 @@
 
 pub use explain::{Explanation, Reason};
 pub use poll::{EndReport, How, Orders, Poll, RunReport, Start, Stop};
-pub use worker::{Worker, WorkerStat};
+pub use worker::{Worker, WorkerStatus};
 
 use crate::config::{Config, Order, Policy};
 use crate::core::job::{Class, Ended, Id, Job, Size, Spec, Task};
@@ -220,7 +220,7 @@
     }
 
     /// Takes the names of the workers that have new orders since the last call.
-    pub fn take_woken(&mut self) -> Vec<String> {
+    pub fn take_workers_to_notify(&mut self) -> Vec<String> {
         std::mem::take(&mut self.to_notify)
             .into_iter()
             .map(|key| self.workers[key.0 as usize].name.clone())
@@ -244,7 +244,7 @@
 
     /// Returns how many units each team lacks for its waiting tasks, up to what one tick
     /// can use.
-    pub fn wanted_units(&self) -> Vec<(String, u64)> {
+    pub fn missing_units(&self) -> Vec<(String, u64)> {
         let mut wanted: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.waiting.is_empty()) {
             let (units, largest) = wanted.entry(&job.team).or_default();
@@ -278,12 +278,12 @@
 
     /// Takes the teams of the tasks that were found running since the last call, with one
     /// entry for each task.
-    pub fn take_adopted(&mut self) -> Vec<String> {
+    pub fn take_adopted_teams(&mut self) -> Vec<String> {
         std::mem::take(&mut self.adopted_teams)
     }
 
     /// Takes all units that no task uses, by team.
-    pub fn return_stock(&mut self) -> Vec<(String, u64)> {
+    pub fn take_available_units(&mut self) -> Vec<(String, u64)> {
         self.teams
             .iter_mut()
             .filter(|(_, team)| team.available_units > 0)
@@ -326,7 +326,7 @@
 
     /// Returns why the zone's workers could not run a job even if they were empty, or
     /// `None` if they could.
-    pub fn misfit(&self, spec: &Spec) -> Option<String> {
+    pub fn unplaceable_reason(&self, spec: &Spec) -> Option<String> {
         let largest = self
             .workers
             .iter()
--- a/src/core/fleet/worker.rs
+++ b/src/core/fleet/worker.rs
@@ -64,7 +64,7 @@
 /// Status of a worker as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkerStat {
+pub struct WorkerStatus {
     /// Name of the worker.
     pub name: String,
     /// Total resources.
@@ -142,8 +142,8 @@
     }
 
     /// Returns the worker's status for operators.
-    pub fn stat(&self) -> WorkerStat {
-        WorkerStat {
+    pub fn status(&self) -> WorkerStatus {
+        WorkerStatus {
             name: self.name.clone(),
             total: self.total,
             reserved: self.reserved,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -308,11 +308,11 @@
     }
 
     fn grant_units(&mut self) {
-        for team in self.fleet.take_adopted() {
+        for team in self.fleet.take_adopted_teams() {
             *self.granted_units.entry(team).or_default() += 1;
         }
         self.reclaim_units();
-        for (team, wanted) in self.fleet.wanted_units() {
+        for (team, wanted) in self.fleet.missing_units() {
             let granted_units = self.granted_units.entry(team.clone()).or_default();
             let units = wanted.min(UNITS_PER_TEAM.saturating_sub(*granted_units));
             *granted_units += units;
@@ -321,7 +321,7 @@
     }
 
     fn reclaim_units(&mut self) {
-        for (team, units) in self.fleet.return_stock() {
+        for (team, units) in self.fleet.take_available_units() {
             let granted_units = self.granted_units.entry(team).or_default();
             *granted_units = granted_units
                 .checked_sub(units)
@@ -352,7 +352,7 @@
             );
         }
         for worker in self.fleet.workers() {
-            let stat = worker.stat();
+            let stat = worker.status();
             assert!(
                 stat.total.fits(stat.reserved),
                 "seed {seed}: worker {} has reserved {:?} of {:?}",
@@ -474,7 +474,7 @@
             let team = TEAMS[sim.rng.random_range(0..TEAMS.len())];
             let spec = sim.random_spec();
             // Jobs that can never run are rejected before they are registered.
-            if sim.fleet.misfit(&spec).is_none() {
+            if sim.fleet.unplaceable_reason(&spec).is_none() {
                 sim.submit(team, spec);
             }
         }
@@ -711,6 +711,6 @@
     assert!(
         sim.fleet
             .workers()
-            .all(|w| w.stat().reserved == Size::default())
+            .all(|w| w.status().reserved == Size::default())
     );
 }
