--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 pub use explain::{Explanation, Reason};
-pub use poll::{EndReport, How, Orders, Poll, RunReport, Start, Stop};
+pub use poll::{Action, EndReport, Orders, Poll, RunReport, Start, Stop};
 pub use worker::{Worker, WorkerStatus};
 
 use crate::config::{Config, Order, Policy};
@@ -190,7 +190,7 @@
             self.release_unit(&job.team);
             return;
         }
-        worker.order_stop(task, placement.attempt, How::Stop);
+        worker.order_stop(task, placement.attempt, Action::Stop);
         worker
             .orphans
             .insert(task, (job.team.clone(), placement.size));
--- a/src/core/fleet/place.rs
+++ b/src/core/fleet/place.rs
@@ -2,7 +2,7 @@
 
 use super::index::Index;
 use super::job::Placement;
-use super::{Fleet, How, PLACEMENTS_PER_TICK_MAX, Start, WorkerKey};
+use super::{Action, Fleet, PLACEMENTS_PER_TICK_MAX, Start, WorkerKey};
 use crate::config::{Order, Policy};
 use crate::core::job::{Class, Id, Size, Task, run_time};
 use crate::core::time::Moment;
@@ -280,7 +280,7 @@
             return false;
         };
         for victim in victims {
-            self.evict(key, victim, How::Checkpoint, "urgent work");
+            self.evict(key, victim, Action::Checkpoint, "urgent work");
         }
         let attempt = self.issue_attempt();
         let job = &self.jobs[&task.job];
@@ -321,7 +321,7 @@
     }
 
     /// Orders a worker to end or throttle a task.
-    pub(super) fn evict(&mut self, key: WorkerKey, task: Task, how: How, reason: &str) {
+    pub(super) fn evict(&mut self, key: WorkerKey, task: Task, how: Action, reason: &str) {
         let worker = &mut self.workers[key.0 as usize];
         let Some(&attempt) = worker.tasks.get(&task) else {
             return;
@@ -332,7 +332,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job)
             && let Some(placement) = job.placed.get_mut(&task.index)
         {
-            placement.evicting |= how != How::Throttle;
+            placement.evicting |= how != Action::Throttle;
         }
         self.events.push(Event::TaskEvicted {
             task: task.to_string(),
--- a/src/core/fleet/poll.rs
+++ b/src/core/fleet/poll.rs
@@ -79,7 +79,7 @@
 /// What a worker is to do with a running task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum Action {
     /// End it immediately.
     Stop,
     /// Let it save its state, then end it.
@@ -115,7 +115,7 @@
     /// Attempt to which the order applies.
     pub attempt: u64,
     /// Action to take.
-    pub how: How,
+    pub how: Action,
 }
 
 /// Answer to a poll: orders for the worker and a renewal of its lease.
@@ -361,7 +361,7 @@
             _ => {
                 if !self.adopt_run(now, key, run) {
                     let worker = &mut self.workers[key.0 as usize];
-                    worker.order_stop(run.task, run.attempt, How::Stop);
+                    worker.order_stop(run.task, run.attempt, Action::Stop);
                     self.to_notify.insert(key);
                     return;
                 }
--- a/src/core/fleet/relief.rs
+++ b/src/core/fleet/relief.rs
@@ -1,6 +1,6 @@
 //! Relief of workers whose tasks use more resources than the worker has.
 
-use super::{Fleet, How, WorkerKey};
+use super::{Action, Fleet, WorkerKey};
 use crate::core::job::{Class, Ended, Size, Task};
 use crate::core::time::Moment;
 
@@ -51,10 +51,10 @@
             return;
         };
         if !over_memory {
-            self.evict(key, task, How::Throttle, "CPU usage above capacity");
+            self.evict(key, task, Action::Throttle, "CPU usage above capacity");
             return;
         }
-        self.evict(key, task, How::Checkpoint, "memory usage above capacity");
+        self.evict(key, task, Action::Checkpoint, "memory usage above capacity");
         let largest = self
             .workers
             .iter()
--- a/src/core/fleet/worker.rs
+++ b/src/core/fleet/worker.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::health::Health;
-use super::poll::{How, Start, Stop};
+use super::poll::{Action, Start, Stop};
 use crate::core::job::{Size, Task};
 use crate::core::time::Moment;
 
@@ -46,7 +46,7 @@
     /// Orders to start tasks that it has not confirmed.
     pub starts: BTreeMap<Task, PendingStart>,
     /// Orders to end or throttle tasks, by task and attempt.
-    pub stops: BTreeMap<(Task, u64), How>,
+    pub stops: BTreeMap<(Task, u64), Action>,
     /// Ends to acknowledge in the next answer, as task and attempt.
     pub acks: Vec<(Task, u64)>,
     /// Tasks of removed jobs that it may still run, with team and reserved size.
@@ -129,7 +129,7 @@
     }
 
     /// Adds an order to end or throttle a task.
-    pub fn order_stop(&mut self, task: Task, attempt: u64, how: How) {
+    pub fn order_stop(&mut self, task: Task, attempt: u64, how: Action) {
         self.stops.insert((task, attempt), how);
     }
 
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -9,7 +9,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::client::Client;
-use crate::core::fleet::{EndReport, How, Orders, Poll, RunReport};
+use crate::core::fleet::{Action, EndReport, Orders, Poll, RunReport};
 use crate::core::job::{Size, Task};
 use crate::error::Result;
 
@@ -155,7 +155,7 @@
                 .running
                 .get(&stop.task)
                 .is_some_and(|run| run.attempt == stop.attempt);
-            if runs && stop.how != How::Throttle {
+            if runs && stop.how != Action::Throttle {
                 self.end(stop.task, false, true);
             } else if !runs && !self.has_ended(stop.task, stop.attempt) {
                 self.ended.push(EndReport {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,7 +9,7 @@
 
 use plantaincross::config::{Source, merge};
 use plantaincross::core::fleet::{
-    EndReport, Fleet, How, Orders, Poll, Reason, RunReport, WORKER_LEASE,
+    Action, EndReport, Fleet, Orders, Poll, Reason, RunReport, WORKER_LEASE,
 };
 use plantaincross::core::job::{
     Class, Ended, Id, Job, Size, Spec, State, Table, Task, Unreachable,
@@ -99,7 +99,7 @@
         self.ended
             .retain(|e| !orders.ended.contains(&(e.task, e.attempt)));
         for stop in orders.stop {
-            if stop.how == How::Throttle {
+            if stop.how == Action::Throttle {
                 continue;
             }
             let runs = self
