--- a/src/cell/control/links.rs
+++ b/src/cell/control/links.rs
@@ -4,19 +4,19 @@
 
 use super::{Control, Origin};
 use crate::cell::journal::Line;
-use crate::cell::{LocalQuery, Port, Remote, RemoteAnswer, calls};
+use crate::cell::{LocalQuery, Remote, RemoteAnswer, Transport, calls};
 use crate::core::control::Peer;
 use crate::core::plane::codec;
 use crate::core::plane::lead::{Answer, Call};
 use crate::core::registry::InstanceId;
-use crate::net::{Link, Notice};
+use crate::net::{Link, LinkEvent};
 use crate::wire::{Body, LeaderHeartbeat};
 
-impl<P: Port> Control<P> {
-    pub(super) fn handle_link_event(&mut self, event: Notice) {
+impl<P: Transport> Control<P> {
+    pub(super) fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
-            Notice::Up(peer, link) => self.handle_peer_up(peer, link),
-            Notice::Down(id, number) => {
+            LinkEvent::Up(peer, link) => self.handle_peer_up(peer, link),
+            LinkEvent::Down(id, number) => {
                 let Some(links) = self.links.get_mut(&id) else {
                     return;
                 };
@@ -31,8 +31,8 @@
                     self.update_requesters();
                 }
             }
-            Notice::Message(from, body) => self.handle_message(from, body),
-            Notice::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
+            LinkEvent::Message(from, body) => self.handle_message(from, body),
+            LinkEvent::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
         }
     }
 
@@ -64,7 +64,7 @@
                 let now = self.clock.now();
                 self.replica.step(now, raft);
             }
-            Body::Ping(ping) => self.mesh.learn(&ping.peers),
+            Body::Ping(ping) => self.mesh.add_peer_addresses(&ping.peers),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
                 Ok(remote) => self.handle_call(from, call.id, remote),
                 Err(err) => self.log_unreadable("call from a peer", &err),
@@ -99,7 +99,8 @@
                 };
                 let transport = Arc::clone(&self.transport);
                 tokio::spawn(async move {
-                    let answer = RemoteAnswer::Permission(transport.ask(request).await);
+                    let answer =
+                        RemoteAnswer::Permission(transport.request_permission(request).await);
                     calls::send_answer(&link, id, &answer);
                 });
             }
--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -1,7 +1,7 @@
 //! The replicated log: sends messages, stores and applies entries, compacts the log.
 
 use super::{COMPACT_LOG_BYTES, COMPACT_LOG_ENTRIES, Control};
-use crate::cell::Port;
+use crate::cell::Transport;
 use crate::cell::journal::Line;
 use crate::cell::metrics::Metrics;
 use crate::cell::storage::{Completion, Request};
@@ -10,7 +10,7 @@
 use crate::core::plane::state::{Command, State};
 use crate::wire::{Body, Entry, Raft};
 
-impl<P: Port> Control<P> {
+impl<P: Transport> Control<P> {
     // Processes the replica's output until there is none: sends messages, hands entries to
     // the disk thread and applies committed entries. While a write is in progress, only
     // output that needs no further write is processed.
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -18,8 +18,8 @@
 use crate::cell::metrics::Metrics;
 use crate::cell::storage::{self, Completion, Request};
 use crate::cell::{
-    Handle, INBOX_MESSAGES_MAX, LEADER_HEARTBEAT_INTERVAL, Links, LocalQuery, PING_INTERVAL, Port,
-    Remote, RemoteAnswer, Settings,
+    Handle, INBOX_MESSAGES_MAX, LEADER_HEARTBEAT_INTERVAL, Links, LocalQuery, PING_INTERVAL,
+    Remote, RemoteAnswer, Settings, Transport,
 };
 use crate::clock::{self, Clock};
 use crate::core::consensus::Replica;
@@ -33,7 +33,7 @@
 use crate::core::roster::{self, Constraints, Location};
 use crate::core::time::Moment;
 use crate::error::Result;
-use crate::net::{Mesh, Notice};
+use crate::net::{LinkEvent, Mesh};
 use crate::store::{Folder, Wal};
 use crate::wire::{Body, LeaderHeartbeat, Ping, Voter};
 
@@ -71,7 +71,7 @@
 
 /// Receivers of the event loop's inputs.
 struct Inboxes {
-    events: mpsc::Receiver<Notice>,
+    events: mpsc::Receiver<LinkEvent>,
     queries: mpsc::Receiver<LocalQuery>,
     results: mpsc::Receiver<TaskResult>,
     completions: mpsc::Receiver<Completion>,
@@ -119,23 +119,23 @@
 /// # Errors
 ///
 /// Fails if the peer address cannot be bound or the data folder cannot be used.
-pub async fn start<P: Port>(
+pub async fn start<P: Transport>(
     settings: Settings,
     transport: Arc<P>,
     journal: Journal,
     metrics: Metrics,
     token: CancellationToken,
 ) -> Result<Handle> {
-    let listener = TcpListener::bind(settings.peer).await?;
+    let listener = TcpListener::bind(settings.listen).await?;
     let clock = Clock::default();
-    let path = settings.data.clone().unwrap_or_default();
+    let path = settings.data_dir.clone().unwrap_or_default();
     let (wal, stored) = Wal::open(Folder::open(&path)?)?;
     let id = InstanceId(rand::random::<u64>().max(1));
     let identity = Identity {
         id,
         name: settings.name.clone(),
         zone: settings.zone.clone(),
-        address: settings.announced.to_string(),
+        address: settings.advertised.to_string(),
         replica: wal.replica(),
         durable: true,
         founders: settings.seeds.clone(),
@@ -224,7 +224,7 @@
     })
 }
 
-impl<P: Port> Control<P> {
+impl<P: Transport> Control<P> {
     async fn run(mut self, mut inboxes: Inboxes) {
         let mut last = self.clock.now();
         let mut busy = Duration::ZERO;
@@ -305,7 +305,7 @@
     // Bootstraps a new cell. Only the seed with the lowest address does so, and only once
     // it is linked to all other seeds and none of them belongs to a group yet.
     fn bootstrap(&mut self, now: Moment) {
-        if !self.settings.founding || !self.replica.is_uninitialized() {
+        if !self.settings.bootstrap || !self.replica.is_uninitialized() {
             return;
         }
         let mut founders = self.settings.seeds.clone();
@@ -572,7 +572,7 @@
         let transport = Arc::clone(&self.transport);
         tokio::spawn(async move {
             let reply = if leased {
-                transport.order(order).await
+                transport.send_order(order).await
             } else {
                 Reply::NotSent
             };
@@ -589,7 +589,7 @@
         if requester == self.identity.id {
             let transport = Arc::clone(&self.transport);
             tokio::spawn(async move {
-                let permission = transport.ask(request).await;
+                let permission = transport.request_permission(request).await;
                 let _ = results
                     .send(TaskResult::Permission(term, number, permission))
                     .await;
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -12,7 +12,7 @@
 
 use super::calls::{self, Calls};
 use super::journal::{Journal, Line};
-use super::{INBOX_MESSAGES_MAX, Links, PING_INTERVAL, Port, Remote, RemoteAnswer, Settings};
+use super::{INBOX_MESSAGES_MAX, Links, PING_INTERVAL, Remote, RemoteAnswer, Settings, Transport};
 use crate::clock::Clock;
 use crate::core::control::{Identity, Peer};
 use crate::core::plane::codec;
@@ -20,7 +20,7 @@
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
 use crate::error::Result;
-use crate::net::{Link, Mesh, Notice};
+use crate::net::{Link, LinkEvent, Mesh};
 use crate::wire::{Body, Ping};
 
 /// Age of the latest heartbeat above which the leader is considered lost: four heartbeat
@@ -84,13 +84,13 @@
 /// # Errors
 ///
 /// Fails if the peer address cannot be bound.
-pub async fn start<P: Port>(
+pub async fn start<P: Transport>(
     settings: Settings,
     transport: Arc<P>,
     journal: Journal,
     token: CancellationToken,
 ) -> Result<Entry> {
-    let listener = TcpListener::bind(settings.peer).await?;
+    let listener = TcpListener::bind(settings.listen).await?;
     let id = InstanceId(rand::random::<u64>().max(1));
     let identity = Identity {
         id,
@@ -135,8 +135,8 @@
 
 impl Entry {
     /// Adds peer addresses of control instances to connect to.
-    pub fn learn(&self, addresses: &[String]) {
-        self.mesh.learn(addresses);
+    pub fn add_peer_addresses(&self, addresses: &[String]) {
+        self.mesh.add_peer_addresses(addresses);
     }
 
     /// Returns the leader as known now.
@@ -264,8 +264,8 @@
     had_leader: bool,
 }
 
-impl<P: Port> EventLoop<P> {
-    async fn run(mut self, mut inbox: mpsc::Receiver<Notice>) {
+impl<P: Transport> EventLoop<P> {
+    async fn run(mut self, mut inbox: mpsc::Receiver<LinkEvent>) {
         let mut pings = interval(PING_INTERVAL);
         loop {
             tokio::select! {
@@ -300,9 +300,9 @@
         self.had_leader = has_leader;
     }
 
-    fn handle_link_event(&mut self, event: Notice) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
-            Notice::Up(peer, link) => {
+            LinkEvent::Up(peer, link) => {
                 self.journal.write(&Line::PeerUp {
                     peer: peer.name.clone(),
                     zone: peer.zone.clone(),
@@ -311,9 +311,9 @@
                 shared.links.entry(peer.id).or_default().push(link);
                 shared.peers.insert(peer.id, peer);
             }
-            Notice::Down(id, number) => self.handle_link_down(id, number),
-            Notice::Message(from, body) => self.handle_message(from, body),
-            Notice::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
+            LinkEvent::Down(id, number) => self.handle_link_down(id, number),
+            LinkEvent::Message(from, body) => self.handle_message(from, body),
+            LinkEvent::Refused(error) => self.journal.write(&Line::PeerRefused { error }),
         }
     }
 
@@ -345,7 +345,7 @@
 
     fn handle_message(&mut self, from: InstanceId, body: Body) {
         match body {
-            Body::Ping(ping) => self.mesh.learn(&ping.peers),
+            Body::Ping(ping) => self.mesh.add_peer_addresses(&ping.peers),
             Body::LeaderHeartbeat(heartbeat) => self.handle_leader_heartbeat(from, heartbeat.term),
             Body::Call(call) => match codec::decode::<Remote>(&call.body) {
                 Ok(Remote::Permission(request)) => {
@@ -355,7 +355,8 @@
                     drop(shared);
                     let (transport, id) = (Arc::clone(&self.transport), call.id);
                     tokio::spawn(async move {
-                        let answer = RemoteAnswer::Permission(transport.ask(request).await);
+                        let answer =
+                            RemoteAnswer::Permission(transport.request_permission(request).await);
                         if let Some(link) = link {
                             calls::send_answer(&link, id, &answer);
                         }
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -42,19 +42,19 @@
     /// Availability zone of the instance.
     pub zone: String,
     /// Address on which the instance listens for peers.
-    pub peer: SocketAddr,
+    pub listen: SocketAddr,
     /// Address that the instance advertises to its peers. It differs from the listening
     /// address behind a proxy.
-    pub announced: SocketAddr,
+    pub advertised: SocketAddr,
     /// Peer addresses of control instances to connect to first.
     pub seeds: Vec<String>,
     /// Secret that all instances of the cell share.
     pub secret: Vec<u8>,
     /// Data folder; required for a control instance.
-    pub data: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// Whether the cell starts for the first time, so that the seeds bootstrap its root
     /// group.
-    pub founding: bool,
+    pub bootstrap: bool,
     /// Target number of voters in the root group.
     pub voters: usize,
     /// Time without contact after which a voter is replaced.
@@ -64,11 +64,14 @@
 }
 
 /// Client interface to the workers and the permission service.
-pub trait Port: Send + Sync + 'static {
+pub trait Transport: Send + Sync + 'static {
     /// Sends an order to a worker and returns its reply.
-    fn order(&self, order: Order) -> impl Future<Output = Reply> + Send;
+    fn send_order(&self, order: Order) -> impl Future<Output = Reply> + Send;
     /// Sends a permission request to the permission service and returns its response.
-    fn ask(&self, request: PermissionRequest) -> impl Future<Output = Permission> + Send;
+    fn request_permission(
+        &self,
+        request: PermissionRequest,
+    ) -> impl Future<Output = Permission> + Send;
 }
 
 /// Call from one instance to another, encoded with postcard.
@@ -108,8 +111,8 @@
 
 impl Handle {
     /// Adds peer addresses of control instances to connect to.
-    pub fn learn(&self, addresses: &[String]) {
-        self.mesh.learn(addresses);
+    pub fn add_peer_addresses(&self, addresses: &[String]) {
+        self.mesh.add_peer_addresses(addresses);
     }
 
     /// Transfers leadership to another instance if this one leads. Called before a planned
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -14,7 +14,7 @@
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
 use crate::event::{Event, Stamp};
-use crate::net::{Link, Mesh, Notice};
+use crate::net::{Link, LinkEvent, Mesh};
 use crate::node::Command;
 use crate::store::Wal;
 use crate::traffic::{Traffic, View};
@@ -54,7 +54,7 @@
     /// Runs until the instance is stopped.
     pub async fn run(
         mut self,
-        mut inbox: mpsc::Receiver<Notice>,
+        mut inbox: mpsc::Receiver<LinkEvent>,
         mut commands: mpsc::Receiver<Command>,
     ) {
         let mut ticks = interval(TICK_INTERVAL);
@@ -103,14 +103,14 @@
         self.apply_effects(effects);
     }
 
-    fn handle_notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: LinkEvent) {
         match notice {
-            Notice::Up(peer, link) => {
+            LinkEvent::Up(peer, link) => {
                 let links = self.links.entry(peer.id).or_default();
                 links.push(link);
                 self.step(Input::PeerUp(peer));
             }
-            Notice::Down(id, number) => {
+            LinkEvent::Down(id, number) => {
                 let Some(links) = self.links.get_mut(&id) else {
                     return;
                 };
@@ -120,9 +120,9 @@
                     self.step(Input::PeerDown(id));
                 }
             }
-            Notice::Message(from, body) => {
+            LinkEvent::Message(from, body) => {
                 if let Body::Ping(ping) = &body {
-                    self.mesh.learn(&ping.peers);
+                    self.mesh.add_peer_addresses(&ping.peers);
                     let stamp = Stamp {
                         millis: ping.stamp_millis,
                         count: ping.stamp_count,
@@ -131,7 +131,7 @@
                 }
                 self.step(Input::Message(from, body));
             }
-            Notice::Refused(reason) => self.traffic.record(Event::PeerRefused { reason }),
+            LinkEvent::Refused(reason) => self.traffic.record(Event::PeerRefused { reason }),
         }
     }
 
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -21,7 +21,7 @@
 
 /// Event of the links, sent to the instance's control loop.
 #[derive(Debug)]
-pub enum Notice {
+pub enum LinkEvent {
     /// A link to the peer was established.
     Up(Peer, Link),
     /// The link with this number to the peer was closed.
@@ -86,7 +86,7 @@
     framed: Framed<S, LengthDelimitedCodec>,
     peer: InstanceId,
     mut outbox: mpsc::Receiver<Body>,
-    events: mpsc::Sender<Notice>,
+    events: mpsc::Sender<LinkEvent>,
     counters: Arc<Counters>,
     token: CancellationToken,
 ) {
@@ -114,7 +114,7 @@
             let Some(body) = decode(bytes) else {
                 return;
             };
-            if events.send(Notice::Message(peer, body)).await.is_err() {
+            if events.send(LinkEvent::Message(peer, body)).await.is_err() {
                 return;
             }
         }
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::handshake::{HANDSHAKE_TIMEOUT, Refusal, Side, authenticate};
-use super::link::{self, Counters, Link, Notice};
+use super::link::{self, Counters, Link, LinkEvent};
 use crate::core::control::{Identity, PEER_SILENCE_MAX, Peer};
 use crate::core::registry::InstanceId;
 use crate::wire::Hello;
@@ -39,7 +39,7 @@
     addresses: Mutex<HashSet<String>>,
     /// Addresses with a link, each with the number of its latest link.
     linked: Mutex<HashMap<String, u64>>,
-    events: mpsc::Sender<Notice>,
+    events: mpsc::Sender<LinkEvent>,
     next_link: AtomicU64,
     token: CancellationToken,
     /// Traffic over all links.
@@ -52,7 +52,7 @@
         identity: Identity,
         secret: Vec<u8>,
         seeds: &[String],
-        events: mpsc::Sender<Notice>,
+        events: mpsc::Sender<LinkEvent>,
         token: CancellationToken,
     ) -> Arc<Self> {
         Arc::new(Self {
@@ -75,7 +75,7 @@
     }
 
     /// Adds peer addresses to connect to.
-    pub fn learn(&self, addresses: &[String]) {
+    pub fn add_peer_addresses(&self, addresses: &[String]) {
         let mut known = self.addresses.lock().expect("addresses lock");
         for address in addresses {
             // Instances that accept no links have an empty address.
@@ -180,7 +180,7 @@
         let (hello, framed) = match handshake {
             Ok(handshake) => handshake,
             Err(err @ (Refusal::Secret | Refusal::Version { .. } | Refusal::Malformed)) => {
-                let _ = self.events.send(Notice::Refused(err.to_string())).await;
+                let _ = self.events.send(LinkEvent::Refused(err.to_string())).await;
                 return;
             }
             Err(Refusal::Io { .. } | Refusal::Closed) => return,
@@ -196,14 +196,14 @@
         let addresses: Vec<String> = std::iter::once(peer.address.clone())
             .chain(dialed)
             .collect();
-        self.learn(&addresses[..1]);
+        self.add_peer_addresses(&addresses[..1]);
         {
             let mut linked = self.linked.lock().expect("linked lock");
             for address in &addresses {
                 linked.insert(address.clone(), number);
             }
         }
-        if self.events.send(Notice::Up(peer, link)).await.is_err() {
+        if self.events.send(LinkEvent::Up(peer, link)).await.is_err() {
             return;
         }
         let counters = Arc::clone(&self.counters);
@@ -212,7 +212,7 @@
             .lock()
             .expect("linked lock")
             .retain(|_, at| *at != number);
-        let _ = self.events.send(Notice::Down(id, number)).await;
+        let _ = self.events.send(LinkEvent::Down(id, number)).await;
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,5 +4,5 @@
 mod link;
 mod mesh;
 
-pub use link::{Counters, Link, Notice};
+pub use link::{Counters, Link, LinkEvent};
 pub use mesh::Mesh;
--- a/src/node.rs
+++ b/src/node.rs
@@ -17,7 +17,7 @@
 use crate::driver::{Driver, Published};
 use crate::error::{Error, Kind, Result};
 use crate::event::Event;
-use crate::net::{Mesh, Notice};
+use crate::net::{LinkEvent, Mesh};
 use crate::settings::Settings;
 use crate::store::{Folder, Wal};
 use crate::traffic::Traffic;
@@ -246,7 +246,7 @@
 
 fn spawn_control(
     driver: Driver,
-    inbox: mpsc::Receiver<Notice>,
+    inbox: mpsc::Receiver<LinkEvent>,
     commands: mpsc::Receiver<Command>,
     listener: std::net::TcpListener,
 ) -> Result<std::thread::JoinHandle<()>> {
