--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -154,7 +154,7 @@
     /// The query may be sent more than once, so it must be idempotent.
     ///
     /// Returns [`Answer::Unknown`] if an attempt was sent and its result is not known.
-    pub async fn ask(&self, query: Query, deadline: Instant) -> Outcome {
+    pub async fn query(&self, query: Query, deadline: Instant) -> Outcome {
         let mut attempts = 0;
         let mut result_unknown = false;
         loop {
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -123,7 +123,7 @@
 
     /// Forwards a query to the leader. Returns [`Answer::Unknown`] if no answer arrives
     /// within `limit`, in which case the leader may have executed the query.
-    pub async fn ask(&self, query: Query, limit: Duration) -> Answer {
+    pub async fn query(&self, query: Query, limit: Duration) -> Answer {
         let (reply, answer) = oneshot::channel();
         if self
             .queries
