--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -19,7 +19,7 @@
 use plantaincross::core::share::{Claimant, divide};
 use plantaincross::core::time::Moment;
 use plantaincross::store::{Folder, Wal};
-use plantaincross::util::cell_named;
+use plantaincross::util::resource_id;
 use plantaincross::wire::{Append, Balance, Body, Entry, Frame, Raft, RaftBody, Voter};
 use prost::Message;
 
@@ -85,7 +85,7 @@
         let name = format!("t{team}");
         gate.put_team(&name, 1 + team % 7);
         gate.receive_unit_balances(&[Balance {
-            resource: cell_named(&name).0,
+            resource: resource_id(&name).0,
             given: 1_000,
             returned: 0,
         }]);
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -11,7 +11,7 @@
 use crate::core::control::JobSummary;
 use crate::core::fleet::Explanation;
 use crate::error::{Error, Kind, Result};
-use crate::http::{ShownJob, Submitted};
+use crate::http::{JobInfo, Submitted};
 
 /// Time limit for one request to an instance.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
@@ -111,7 +111,7 @@
 
 async fn status(caller: &Caller, job: u64) -> Result<()> {
     let path = format!("/v1/jobs/{job}");
-    let shown: ShownJob = caller.client().call("GET", &path, None::<&()>).await?;
+    let shown: JobInfo = caller.client().call("GET", &path, None::<&()>).await?;
     print(format_args!(
         "{}\t{}\t{}\t{}\t{}/{}\t{}",
         shown.id, shown.team, shown.spec.name, shown.zone, shown.ended, shown.tasks, shown.state
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -4,7 +4,7 @@
 
 use super::{Connection, block_on, print};
 use crate::error::{Error, Kind, Result};
-use crate::http::{GiveBody, ShownKey, WithdrawnBody};
+use crate::http::{GiveBody, KeyInfo, Withdrawal};
 use crate::util::sha256;
 
 /// Issues, withdraws and lists API keys.
@@ -91,7 +91,7 @@
 fn withdraw(connection: &Connection, id: &str) -> Result<()> {
     block_on(async {
         let path = format!("/v1/keys/{id}");
-        let body: WithdrawnBody = connection
+        let body: Withdrawal = connection
             .client()?
             .call("DELETE", &path, None::<&()>)
             .await?;
@@ -105,7 +105,7 @@
 
 fn list(connection: &Connection) -> Result<()> {
     block_on(async {
-        let keys: Vec<ShownKey> = connection
+        let keys: Vec<KeyInfo> = connection
             .client()?
             .call("GET", "/v1/keys", None::<&()>)
             .await?;
--- a/src/cmd/local.rs
+++ b/src/cmd/local.rs
@@ -176,7 +176,7 @@
             if founders.contains(&name) {
                 settings.data = Some(data.join(&name));
             }
-            let started = node::start_on(settings, http, peer).await?;
+            let started = node::start_with_listeners(settings, http, peer).await?;
             cell.add(started);
         }
         Ok(cell)
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::client::Client;
 use crate::error::{Error, Kind, Result};
-use crate::http::{Shown, operator_token};
+use crate::http::{ConfigInfo, operator_token};
 use crate::settings::read_secret;
 
 pub mod check;
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// Fails if the secret cannot be read or the instance cannot be reached.
-pub fn fetch_config(connection: &Connection) -> Result<Shown> {
+pub fn fetch_config(connection: &Connection) -> Result<ConfigInfo> {
     block_on(async {
         connection
             .client()?
--- a/src/cmd/team.rs
+++ b/src/cmd/team.rs
@@ -7,7 +7,7 @@
 use super::{Connection, block_on, print};
 use crate::core::control::Status;
 use crate::error::Result;
-use crate::http::Shown;
+use crate::http::ConfigInfo;
 
 /// Shows the teams with their shares, limits and current load.
 #[derive(Debug, clap::Args)]
@@ -34,7 +34,7 @@
     let Action::List { connection } = &args.action;
     block_on(async {
         let mut client = connection.client()?;
-        let shown: Shown = client.call("GET", "/v1/config", None::<&()>).await?;
+        let shown: ConfigInfo = client.call("GET", "/v1/config", None::<&()>).await?;
         let statuses: Vec<Status> = client.call("GET", "/v1/status", None::<&()>).await?;
         let mut sums: BTreeMap<&str, (u64, u64, u64)> = BTreeMap::new();
         for load in statuses.iter().flat_map(|s| &s.teams) {
--- a/src/core/allocator/mod.rs
+++ b/src/core/allocator/mod.rs
@@ -18,7 +18,7 @@
 use crate::core::time::{Moment, with_clock_margin};
 use crate::error::{Error, Kind, Result};
 use crate::event::Event;
-use crate::util::cell_named;
+use crate::util::resource_id;
 use crate::wire;
 
 /// Time for which an entry instance may use an allotment, on its own clock.
@@ -172,7 +172,7 @@
             .issuer
             .set_capacity(given.saturating_sub(units.returned));
         self.teams_by_resource
-            .insert(cell_named(team), team.to_owned());
+            .insert(resource_id(team), team.to_owned());
     }
 
     // Holders unknown to this leader may use units given by earlier ones until their
--- a/src/core/allocator/reports.rs
+++ b/src/core/allocator/reports.rs
@@ -6,7 +6,7 @@
 use crate::core::escrow::{Issuer, ResourceId};
 use crate::core::registry::InstanceId;
 use crate::core::time::Moment;
-use crate::util::cell_named;
+use crate::util::resource_id;
 use crate::wire;
 
 impl Allocator {
@@ -203,7 +203,7 @@
                 .keys()
                 .filter_map(|name| {
                     let account = units.get(name)?.issuer.account(to);
-                    Some(balance(cell_named(name), account.given, account.returned))
+                    Some(balance(resource_id(name), account.given, account.returned))
                 })
                 .collect(),
             recall_slots: std::mem::take(&mut holder.recall_slots)
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -84,7 +84,7 @@
             return key;
         }
         let key = TeamKey(u32::try_from(self.teams.len()).expect("fewer than 2^32 teams"));
-        let resource = crate::util::cell_named(name);
+        let resource = crate::util::resource_id(name);
         let mut holding = Holding::default();
         if let Some(given) = self.pending_units.remove(&resource) {
             holding.receive(given);
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -128,7 +128,7 @@
         "{}/{}/{}",
         announcement.zone, announcement.name, announcement.incarnation
     );
-    crate::util::cell_named(&name)
+    crate::util::resource_id(&name)
 }
 
 impl Index {
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -53,7 +53,7 @@
         let Some(target) = target else {
             return Outcome::Unsent("the upstream was removed".into());
         };
-        let connection = match self.pool.take(target.address, incoming.idempotent).await {
+        let connection = match self.pool.acquire(target.address, incoming.idempotent).await {
             Ok(connection) => connection,
             Err(err) => return Outcome::Unsent(format!("{}: {err}", target.name)),
         };
@@ -131,7 +131,7 @@
         let body = timeout_at(run_until, Limited::new(body, limit).collect()).await;
         match body {
             Ok(Ok(body)) => {
-                self.pool.put(connection, idle_limit(target));
+                self.pool.release(connection, idle_limit(target));
                 Outcome::Answered(Response::from_parts(head, body.to_bytes()))
             }
             Ok(Err(err)) => {
--- a/src/http/jobs.rs
+++ b/src/http/jobs.rs
@@ -25,7 +25,7 @@
 
 /// Description and progress of a job.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownJob {
+pub struct JobInfo {
     /// Id of the job.
     pub id: Id,
     /// Team that submitted it.
@@ -167,7 +167,7 @@
 
 /// Shows a job.
 pub async fn show(State(app): State<App>, Path(id): Path<u64>, headers: HeaderMap) -> Response {
-    let shown = find(&app, &headers, id).await.map(|job| ShownJob {
+    let shown = find(&app, &headers, id).await.map(|job| JobInfo {
         id: job.id,
         ended: job.ended_count(),
         tasks: job.spec.tasks,
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -24,9 +24,9 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-pub use jobs::{ShownJob, Submitted};
+pub use jobs::{JobInfo, Submitted};
 pub use operators::{
-    Events, Faults, GiveBody, PushBody, Pushed, Shown, ShownKey, WithdrawnBody, operator_token,
+    ConfigInfo, Events, Faults, GiveBody, KeyInfo, PushBody, Pushed, Withdrawal, operator_token,
 };
 pub use platform::HeartbeatBody;
 pub use pool::{Connection, Pool};
--- a/src/http/operators.rs
+++ b/src/http/operators.rs
@@ -59,7 +59,7 @@
 
 /// The configuration in force.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct ConfigInfo {
     /// Version of the configuration.
     pub version: u64,
     /// SHA-256 of the canonical form, in hexadecimal.
@@ -98,7 +98,7 @@
 
 /// Description of an API key, without its digest.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownKey {
+pub struct KeyInfo {
     /// Name of the key.
     pub id: String,
     /// Team that the key authenticates.
@@ -111,7 +111,7 @@
 
 /// Response to the withdrawal of a key.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct WithdrawnBody {
+pub struct Withdrawal {
     /// Whether the withdrawal is in force: committed by the root group and, for a key with a
     /// home zone, confirmed by the leader of that zone.
     pub accepted: bool,
@@ -238,7 +238,7 @@
             return Err(Kind::Internal.into());
         };
         let view = app.node.traffic.view.load();
-        Ok(Shown {
+        Ok(ConfigInfo {
             version: view.version,
             digest: hex::encode(view.config.digest()),
             config: view.config.clone(),
@@ -261,9 +261,9 @@
     let listed = async {
         authorize(&app, &headers)?;
         let view = app.node.traffic.view.load();
-        let mut keys: Vec<ShownKey> = view
+        let mut keys: Vec<KeyInfo> = view
             .keys()
-            .map(|(id, key)| ShownKey {
+            .map(|(id, key)| KeyInfo {
                 id: id.clone(),
                 team: key.team.clone(),
                 home_zone: key.home_zone.clone(),
@@ -320,7 +320,7 @@
             Some(zone) => (!wait_applied(&app, &zone, at).await).then_some(zone),
             None => None,
         };
-        Ok(WithdrawnBody {
+        Ok(Withdrawal {
             accepted: waits_for.is_none(),
             waits_for,
         })
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -80,13 +80,13 @@
 
 impl Default for Pool {
     fn default() -> Self {
-        Self::with_most(usize::MAX)
+        Self::with_max_open(usize::MAX)
     }
 }
 
 impl Pool {
     /// Creates a pool that keeps at most `max_open` connections open, in use or idle.
-    pub fn with_most(max_open: usize) -> Self {
+    pub fn with_max_open(max_open: usize) -> Self {
         Self {
             idle: Mutex::default(),
             open: Arc::default(),
@@ -105,7 +105,11 @@
     ///
     /// Fails if the upstream cannot be reached or the maximum number of connections is in use.
     /// No request has been sent in either case.
-    pub async fn take(&self, address: SocketAddr, idempotent: bool) -> std::io::Result<Connection> {
+    pub async fn acquire(
+        &self,
+        address: SocketAddr,
+        idempotent: bool,
+    ) -> std::io::Result<Connection> {
         let age_max = if idempotent {
             IDLE_TIMEOUT
         } else {
@@ -150,7 +154,7 @@
 
     /// Returns a connection to the pool after a complete exchange. Closes it if `idle_max`
     /// idle connections to the same address are already pooled.
-    pub fn put(&self, connection: Connection, idle_max: usize) {
+    pub fn release(&self, connection: Connection, idle_max: usize) {
         if connection.sender.is_closed() {
             connection.close();
             return;
--- a/src/node.rs
+++ b/src/node.rs
@@ -131,7 +131,7 @@
 pub async fn start(settings: Settings) -> Result<Started> {
     let listener = TcpListener::bind(settings.http).await?;
     let peer_listener = TcpListener::bind(settings.peer).await?;
-    start_on(settings, listener, peer_listener).await
+    start_with_listeners(settings, listener, peer_listener).await
 }
 
 /// Starts an instance like [`start`], on sockets that are already open.
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// Fails if the data folder cannot be opened.
-pub async fn start_on(
+pub async fn start_with_listeners(
     mut settings: Settings,
     listener: TcpListener,
     peer_listener: TcpListener,
--- a/src/util.rs
+++ b/src/util.rs
@@ -18,7 +18,7 @@
 }
 
 /// Returns the id under which escrow accounts for the units of `name`.
-pub fn cell_named(name: &str) -> ResourceId {
+pub fn resource_id(name: &str) -> ResourceId {
     ResourceId(hash64(name.as_bytes()))
 }
 
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -11,7 +11,7 @@
 use plantaincross::client::Client;
 use plantaincross::cmd::push::push;
 use plantaincross::config::Source;
-use support::{CONFIG, Cell, PATIENCE};
+use support::{CONFIG, Cell, WAIT_TIMEOUT};
 use tokio::time::{Instant, sleep};
 
 const ZONES_OF_NINE: [&str; 9] = ["a", "b", "c", "d", "a", "b", "c", "d", "a"];
@@ -36,7 +36,7 @@
 }
 
 async fn sent_bytes(cell: &Cell, at: usize) -> u64 {
-    let mut client = Client::new(cell.instances[at].http, None, PATIENCE);
+    let mut client = Client::new(cell.instances[at].http, None, WAIT_TIMEOUT);
     let answer = client
         .send("GET", "/metrics", &[], "")
         .await
@@ -95,7 +95,7 @@
                 if all.len() == 9 && all.iter().all(|s| s.version > version) {
                     break;
                 }
-                assert!(started.elapsed() < PATIENCE);
+                assert!(started.elapsed() < WAIT_TIMEOUT);
             }
             slowest = slowest.max(started.elapsed());
         }
@@ -112,7 +112,7 @@
             let started = Instant::now();
             let mut operator = cell.operator(round);
             let path = format!("/v1/keys/{key}");
-            let _: plantaincross::http::WithdrawnBody =
+            let _: plantaincross::http::Withdrawal =
                 operator.call("DELETE", &path, None::<&()>).await.expect("withdrawn");
             for at in 0..9 {
                 while cell.get(at, &key).await.is_ok_and(|a| a.status().is_success()) {}
@@ -137,7 +137,7 @@
                 break;
             }
             version = cell.status(other).await.first().map_or(version, |s| s.version);
-            assert!(started.elapsed() < PATIENCE);
+            assert!(started.elapsed() < WAIT_TIMEOUT);
         }
         show("root leader killed until next accepted push", started.elapsed(), Duration::from_secs(3));
         cell.restart(at);
@@ -152,7 +152,7 @@
             if all.iter().any(|s| s.leads_zone && s.zone == "a" && s.name != format!("i{zone}")) {
                 break;
             }
-            assert!(started.elapsed() < PATIENCE);
+            assert!(started.elapsed() < WAIT_TIMEOUT);
         }
         show("zone leader killed until the next one acts", started.elapsed(), Duration::from_secs(3));
     }
@@ -179,7 +179,7 @@
             floor.push(started.elapsed());
         }
         let mut trips = Vec::new();
-        let mut client = Client::new(cell.instances[0].http, None, PATIENCE);
+        let mut client = Client::new(cell.instances[0].http, None, WAIT_TIMEOUT);
         for _ in 0..200 {
             let started = Instant::now();
             client.send("GET", "/healthz", &[], "").await.expect("answers");
@@ -211,7 +211,7 @@
     async fn latency_added_by_an_entry_instance() {
         let cell = Cell::serving(&["a", "a"], 2, Duration::ZERO).await;
         let upstream = cell.all_upstreams()[0].address();
-        let mut direct = Client::new(upstream, None, PATIENCE);
+        let mut direct = Client::new(upstream, None, WAIT_TIMEOUT);
         let mut through = cell.client(0, "big-key");
         let (mut direct_times, mut through_times) = (Vec::new(), Vec::new());
         for _ in 0..500 {
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -13,7 +13,7 @@
 use plantaincross::core::retry::{Budget, backoff};
 use plantaincross::core::time::Moment;
 use plantaincross::error::Kind;
-use plantaincross::util::cell_named;
+use plantaincross::util::resource_id;
 use plantaincross::wire::Balance;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -42,7 +42,7 @@
                 let name = format!("t{at}");
                 let key = gate.put_team(&name, share);
                 let balance = Balance {
-                    resource: cell_named(&name).0,
+                    resource: resource_id(&name).0,
                     given: 1_000_000,
                     returned: 0,
                 };
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -42,15 +42,15 @@
 // connection that has been idle longest is closed.
 #[tokio::test]
 async fn idle_connections_make_way() {
-    let pool = Pool::with_most(3);
+    let pool = Pool::with_max_open(3);
     for _ in 0..10 {
         let address = upstream().await;
         let mut connection = pool
-            .take(address, true)
+            .acquire(address, true)
             .await
             .expect("an idle connection is closed");
         exchange(&mut connection).await;
-        pool.put(connection, 3);
+        pool.release(connection, 3);
         assert!(pool.open() <= 3, "{} connections are open", pool.open());
     }
 }
@@ -59,20 +59,23 @@
 // the others, and closing one must free its place.
 #[tokio::test]
 async fn a_full_pool_refuses_and_recovers() {
-    let pool = Pool::with_most(2);
+    let pool = Pool::with_max_open(2);
     let mut first = pool
-        .take(upstream().await, true)
+        .acquire(upstream().await, true)
         .await
         .expect("below the limit");
     let second = pool
-        .take(upstream().await, true)
+        .acquire(upstream().await, true)
         .await
         .expect("below the limit");
     let third = upstream().await;
-    assert!(pool.take(third, true).await.is_err());
+    assert!(pool.acquire(third, true).await.is_err());
     exchange(&mut first).await;
     second.close();
-    let mut third = pool.take(third, true).await.expect("below the limit again");
+    let mut third = pool
+        .acquire(third, true)
+        .await
+        .expect("below the limit again");
     exchange(&mut third).await;
     assert_eq!(pool.open(), 2);
 }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -6,7 +6,7 @@
 
 use plantaincross::core::control::PEER_SILENCE_MAX;
 use plantaincross::standin::Behaviour;
-use support::{Cell, PATIENCE, kind};
+use support::{Cell, WAIT_TIMEOUT, kind};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
@@ -29,7 +29,7 @@
             tokio::spawn(async move {
                 let started = Instant::now();
                 let mut done = 0;
-                while done < requests && started.elapsed() < PATIENCE {
+                while done < requests && started.elapsed() < WAIT_TIMEOUT {
                     let answer = client.send("GET", "/v1/services/orders/x", &[], "").await;
                     if answer.is_ok_and(|a| a.status().is_success()) {
                         done += 1;
@@ -114,7 +114,7 @@
                 if kind != "claim_unavailable" && kind != "overloaded" {
                     break;
                 }
-                assert!(started.elapsed() < PATIENCE);
+                assert!(started.elapsed() < WAIT_TIMEOUT);
                 sleep(Duration::from_millis(100)).await;
             }
             assert!(cell.runs(&id) <= 1, "{id} ran {} times", cell.runs(&id));
@@ -142,7 +142,7 @@
                 if kind(answer.body()).0 != "claim_unavailable" {
                     break answer;
                 }
-                assert!(started.elapsed() < PATIENCE);
+                assert!(started.elapsed() < WAIT_TIMEOUT);
                 sleep(Duration::from_millis(100)).await;
             };
             let (kind, run) = kind(answer.body());
@@ -192,11 +192,11 @@
             let mut cell = Cell::start(&["a"]).await;
             let started = Instant::now();
             while TcpStream::connect(cell.instances[0].peer).await.is_err() {
-                assert!(started.elapsed() < PATIENCE);
+                assert!(started.elapsed() < WAIT_TIMEOUT);
                 tokio::task::yield_now().await;
             }
             cell.stop(0);
-            assert!(cell.ended(0).await);
+            assert!(cell.wait_for_exit(0).await);
         }
     }
 
@@ -225,7 +225,7 @@
         }
         sleep(Duration::from_millis(400)).await;
         cell.stop(1);
-        assert!(cell.ended(1).await, "ended with an error");
+        assert!(cell.wait_for_exit(1).await, "ended with an error");
         let mut served = 0;
         for task in tasks {
             served += task.await.expect("runs").expect("nothing was cut").0;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -27,7 +27,7 @@
 pub const SECRET: &[u8] = b"a secret for tests only";
 /// Time limit for an expected event. It is far above the usual duration, so that tests do not
 /// fail on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Configuration with the teams `big` and `small` and the service `orders`.
 pub const CONFIG: &str = "[cell]\nclaim-retention = 60s\n\
@@ -197,7 +197,7 @@
         let started = Instant::now();
         while let Err(err) = push(&mut operator, 0, "test", files.clone()).await {
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "configuration was not accepted: {err}"
             );
             sleep(Duration::from_millis(50)).await;
@@ -264,7 +264,7 @@
                 return;
             }
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "i{at} does not serve requests: {answer:?}"
             );
             sleep(Duration::from_millis(50)).await;
@@ -272,7 +272,7 @@
     }
 
     pub fn client(&self, at: usize, key: &str) -> Client {
-        Client::new(self.instances[at].http, Some(key.to_owned()), PATIENCE)
+        Client::new(self.instances[at].http, Some(key.to_owned()), WAIT_TIMEOUT)
     }
 
     pub fn operator(&self, at: usize) -> Client {
@@ -318,7 +318,10 @@
                 let at = self.instances.iter().position(|i| i.name == leader.name);
                 return at.expect("known instance");
             }
-            assert!(started.elapsed() < PATIENCE, "zone {zone} has no leader");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "zone {zone} has no leader"
+            );
             sleep(Duration::from_millis(100)).await;
         }
     }
@@ -374,7 +377,7 @@
     }
 
     /// Waits until a daemon has exited and returns whether its exit status was success.
-    pub async fn ended(&mut self, at: usize) -> bool {
+    pub async fn wait_for_exit(&mut self, at: usize) -> bool {
         let started = Instant::now();
         let child = self.instances[at].child.as_mut().expect("was started");
         loop {
@@ -382,7 +385,7 @@
                 self.instances[at].child = None;
                 return status.success();
             }
-            assert!(started.elapsed() < PATIENCE, "i{at} did not exit");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "i{at} did not exit");
             sleep(Duration::from_millis(50)).await;
         }
     }
--- a/tests/tasks.rs
+++ b/tests/tasks.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use plantaincross::core::job::Size;
-use plantaincross::http::{ShownJob, Submitted};
+use plantaincross::http::{JobInfo, Submitted};
 use plantaincross::standin::worker::{self, Record};
-use support::{Cell, PATIENCE, kind};
+use support::{Cell, WAIT_TIMEOUT, kind};
 use tokio::time::{Instant, sleep};
 
 fn start_workers(cell: &Cell, zone: &str, count: usize) -> Arc<Mutex<Record>> {
@@ -52,7 +52,7 @@
             return submitted;
         }
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < WAIT_TIMEOUT,
             "job {id} was not accepted in time"
         );
         sleep(Duration::from_millis(100)).await;
@@ -64,12 +64,12 @@
     loop {
         let path = format!("/v1/jobs/{}", job.id);
         let mut client = cell.client(at, "big-key");
-        let shown = client.call::<ShownJob>("GET", &path, None::<&()>).await;
+        let shown = client.call::<JobInfo>("GET", &path, None::<&()>).await;
         if shown.as_ref().is_ok_and(|job| job.ended == tasks) {
             return;
         }
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < WAIT_TIMEOUT,
             "the job did not complete in time: {shown:?}"
         );
         sleep(Duration::from_millis(200)).await;
--- a/tests/timed.rs
+++ b/tests/timed.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use plantaincross::standin::Behaviour;
-use support::{Cell, PATIENCE, kind};
+use support::{Cell, WAIT_TIMEOUT, kind};
 use tokio::time::{Instant, sleep};
 
 macro_rules! timed {
@@ -73,12 +73,12 @@
         for at in 0..4 {
             let started = Instant::now();
             while !cell.get(at, "doomed").await.is_ok_and(|a| a.status().is_success()) {
-                assert!(started.elapsed() < PATIENCE);
+                assert!(started.elapsed() < WAIT_TIMEOUT);
                 sleep(Duration::from_millis(20)).await;
             }
         }
         let mut operator = cell.operator(2);
-        let body: plantaincross::http::WithdrawnBody = operator
+        let body: plantaincross::http::Withdrawal = operator
             .call("DELETE", "/v1/keys/doomed", None::<&()>)
             .await
             .expect("withdrawn");
