--- a/src/bin/plantaincrossd.rs
+++ b/src/bin/plantaincrossd.rs
@@ -6,5 +6,5 @@
 use plantaincross::cmd::{self, daemon};
 
 fn main() -> ExitCode {
-    cmd::finish(daemon::run(&daemon::Args::parse()))
+    cmd::exit_code(daemon::run(&daemon::Args::parse()))
 }
--- a/src/cmd/local.rs
+++ b/src/cmd/local.rs
@@ -20,7 +20,7 @@
 use crate::metrics::Totals;
 use crate::node::{self, Node, Started};
 use crate::settings::Settings;
-use crate::standin::{Plan, Upstream, worker};
+use crate::standin::{Options, Upstream, worker};
 use crate::util::sha256;
 
 /// Time limit for the cell to become ready.
@@ -266,16 +266,16 @@
     for zone in zones(config) {
         for service in config.services.keys() {
             for index in 0..args.upstreams {
-                let options = Plan {
+                let options = Options {
                     name: format!("{service}-{zone}-{index}"),
                     zone: zone.clone(),
                     service: service.clone(),
                     slots: 8,
                     connections: 64,
                     service_time: Duration::from_millis(args.service_ms),
-                    counts: true,
+                    reports_running: true,
                     port: None,
-                    announced: None,
+                    advertised: None,
                 };
                 Upstream::start(options, entries.to_vec(), None, token.child_token()).await?;
             }
@@ -289,11 +289,11 @@
     args: &Args,
     entries: &[SocketAddr],
     token: &CancellationToken,
-) -> Arc<Mutex<worker::Record>> {
-    let worker_stats: Arc<Mutex<worker::Record>> = Arc::default();
+) -> Arc<Mutex<worker::Stats>> {
+    let worker_stats: Arc<Mutex<worker::Stats>> = Arc::default();
     for zone in zones(config) {
         for index in 0..args.workers {
-            let options = worker::Plan {
+            let options = worker::Options {
                 name: format!("worker-{zone}-{index}"),
                 zone: zone.clone(),
                 rack: format!("rack-{}", index / 6),
@@ -302,7 +302,7 @@
                     memory_mb: 128 << 10,
                     accelerators: 0,
                 },
-                fails: false,
+                fails_tasks: false,
             };
             let worker_stats = Arc::clone(&worker_stats);
             let worker = worker::run(
@@ -394,11 +394,7 @@
     Ok(())
 }
 
-fn print_summary(
-    statuses: &[Status],
-    totals: &Totals,
-    worker_stats: &worker::Record,
-) -> Result<()> {
+fn print_summary(statuses: &[Status], totals: &Totals, worker_stats: &worker::Stats) -> Result<()> {
     let mut sums: BTreeMap<&str, (u64, Duration, u32)> = BTreeMap::new();
     for load in statuses.iter().flat_map(|s| &s.teams) {
         let sum = sums.entry(&load.team).or_default();
@@ -427,6 +423,6 @@
     }
     print(format_args!(
         "{} tasks started, {} ended, {} at most in one place",
-        worker_stats.started, worker_stats.ended, worker_stats.most
+        worker_stats.started, worker_stats.completed, worker_stats.max_copies
     ))
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -123,7 +123,7 @@
 
 /// Prints an error as one line to standard error and converts the result to an exit
 /// code. A closed output pipe counts as success.
-pub fn finish(result: Result<()>) -> ExitCode {
+pub fn exit_code(result: Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) if err.message.contains("Broken pipe") => ExitCode::SUCCESS,
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,5 +6,5 @@
 use plantaincross::cmd::{self, Cli};
 
 fn main() -> ExitCode {
-    cmd::finish(cmd::run(Cli::parse()))
+    cmd::exit_code(cmd::run(Cli::parse()))
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -4,4 +4,4 @@
 mod upstream;
 pub mod worker;
 
-pub use upstream::{Behaviour, Plan, Stats, Upstream};
+pub use upstream::{Behaviour, Options, Stats, Upstream};
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -38,9 +38,9 @@
     /// Never answers.
     Silent,
     /// Aborts the connection before the end of the answer's body.
-    Short,
+    Truncated,
     /// Returns another request's id in the answer.
-    Crossed,
+    MismatchedId,
     /// Returns a body of this many bytes.
     Large(usize),
 }
@@ -51,11 +51,11 @@
     /// Requests currently running.
     pub running: u32,
     /// Highest number of requests that ran concurrently.
-    pub most_running: u32,
+    pub peak_running: u32,
     /// Connections currently open.
     pub connections: u32,
     /// Highest number of concurrently open connections.
-    pub most_connections: u32,
+    pub peak_connections: u32,
     /// Number of runs by request id.
     pub runs: HashMap<String, u32>,
     /// Number of started requests by team.
@@ -92,7 +92,7 @@
 
 /// Identity, capacity and reporting of an upstream.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Options {
     /// Unique name of the upstream.
     pub name: String,
     /// Availability zone it belongs to.
@@ -106,11 +106,11 @@
     /// Time to serve one request.
     pub service_time: Duration,
     /// Whether heartbeats report the number of running requests by sender.
-    pub counts: bool,
+    pub reports_running: bool,
     /// Port to listen on; any free port if `None`.
     pub port: Option<u16>,
     /// Address advertised in heartbeats; the listener's address if `None`.
-    pub announced: Option<SocketAddr>,
+    pub advertised: Option<SocketAddr>,
 }
 
 impl Upstream {
@@ -120,7 +120,7 @@
     ///
     /// Fails if the port cannot be opened.
     pub async fn start(
-        options: Plan,
+        options: Options,
         entries: Vec<SocketAddr>,
         platform_token: Option<String>,
         token: CancellationToken,
@@ -130,7 +130,7 @@
             name: options.name,
             zone: options.zone,
             service: options.service,
-            address: match options.announced {
+            address: match options.advertised {
                 Some(address) => address,
                 None => listener.local_addr()?,
             },
@@ -142,7 +142,7 @@
             leaving: Mutex::new(false),
             heartbeats_paused: Mutex::new(false),
             seen: Mutex::new(None),
-            counts: options.counts,
+            counts: options.reports_running,
             stats: Mutex::default(),
             token,
         });
@@ -163,7 +163,7 @@
     }
 
     /// Sets how requests received from now on are answered.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.state.behaviour.lock().expect("behaviour lock") = behaviour;
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Sets whether further heartbeats report that the upstream is leaving.
-    pub fn leave(&self, leaving: bool) {
+    pub fn set_leaving(&self, leaving: bool) {
         *self.state.leaving.lock().expect("leaving lock") = leaving;
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Calls `read` with the current counters.
-    pub fn ledger<T>(&self, read: impl FnOnce(&Stats) -> T) -> T {
+    pub fn stats<T>(&self, read: impl FnOnce(&Stats) -> T) -> T {
         read(&self.state.stats.lock().expect("stats lock"))
     }
 
@@ -285,7 +285,7 @@
     fn count_connection(&self) {
         let mut stats = self.stats.lock().expect("stats lock");
         stats.connections += 1;
-        stats.most_connections = stats.most_connections.max(stats.connections);
+        stats.peak_connections = stats.peak_connections.max(stats.connections);
     }
 }
 
@@ -307,7 +307,7 @@
         let sender = text("x-plantaincross-sender");
         let mut stats = state.stats.lock().expect("stats lock");
         stats.running += 1;
-        stats.most_running = stats.most_running.max(stats.running);
+        stats.peak_running = stats.peak_running.max(stats.running);
         *stats.runs.entry(text("x-request-id")).or_default() += 1;
         *stats.teams.entry(text("x-team")).or_default() += 1;
         *stats.by_sender.entry(sender.clone()).or_default() += 1;
@@ -353,7 +353,7 @@
             state.token.cancelled().await;
             Response::new(Body::empty())
         }
-        Behaviour::Short => {
+        Behaviour::Truncated => {
             let abort = futures_util::stream::once(async {
                 sleep(TRUNCATION_DELAY).await;
                 Err(std::io::Error::other("answer truncated"))
@@ -361,13 +361,13 @@
             let truncated = futures_util::stream::iter([Ok(text)]).chain(abort);
             Response::new(Body::from_stream(truncated))
         }
-        Behaviour::Crossed => Response::new(Body::from(text)),
+        Behaviour::MismatchedId => Response::new(Body::from(text)),
         // A panic in the handler makes the server close the connection.
         Behaviour::Close => std::panic::resume_unwind(Box::new("closed")),
     };
     let headers = response.headers_mut();
     match (behaviour, id) {
-        (Behaviour::Crossed, _) => {
+        (Behaviour::MismatchedId, _) => {
             headers.insert("x-request-id", HeaderValue::from_static("other"));
         }
         (_, Some(id)) => {
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -22,7 +22,7 @@
 
 /// Identity, capacity and behaviour of a worker.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Options {
     /// Unique name of the worker.
     pub name: String,
     /// Availability zone it belongs to.
@@ -32,21 +32,21 @@
     /// Resources that it offers.
     pub size: Size,
     /// Whether every task fails as soon as it starts.
-    pub fails: bool,
+    pub fails_tasks: bool,
 }
 
 /// Counters shared by all workers of a trial, to detect tasks that run on several
 /// workers at once.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct Stats {
     /// Tasks currently running, with the number of workers that run each.
     pub running: BTreeMap<Task, u32>,
     /// Highest number of workers that ran the same task at once.
-    pub most: u32,
+    pub max_copies: u32,
     /// Number of task starts.
     pub started: u64,
     /// Number of tasks that ended successfully.
-    pub ended: u64,
+    pub completed: u64,
 }
 
 #[derive(Debug)]
@@ -59,10 +59,10 @@
 
 /// Runs a worker until the token is cancelled.
 pub async fn run(
-    options: Plan,
+    options: Options,
     entries: Vec<SocketAddr>,
     platform_token: Option<String>,
-    stats: Arc<Mutex<Record>>,
+    stats: Arc<Mutex<Stats>>,
     token: CancellationToken,
 ) {
     let mut clients: Vec<Client> = entries
@@ -104,8 +104,8 @@
 }
 
 struct Worker {
-    options: Plan,
-    stats: Arc<Mutex<Record>>,
+    options: Options,
+    stats: Arc<Mutex<Stats>>,
     running: BTreeMap<Task, Running>,
     /// Ended runs that no answer has acknowledged yet.
     ended: Vec<EndReport>,
@@ -180,7 +180,7 @@
             };
             self.running.insert(start.task, run);
             self.record_start(start.task);
-            if self.options.fails {
+            if self.options.fails_tasks {
                 self.end(start.task, false, false);
             }
         }
@@ -230,7 +230,7 @@
             evicted,
         });
         let mut stats = self.stats.lock().expect("stats lock");
-        stats.ended += u64::from(ok);
+        stats.completed += u64::from(ok);
         if let Some(count) = stats.running.get_mut(&task) {
             *count -= 1;
         }
@@ -242,7 +242,7 @@
         let count = stats.running.entry(task).or_default();
         *count += 1;
         let count = *count;
-        stats.most = stats.most.max(count);
+        stats.max_copies = stats.max_copies.max(count);
         stats.started += 1;
     }
 }
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -259,11 +259,11 @@
     async fn slope_of_workers() {
         let cell = Cell::serving(&["a", "a", "a"], 1, Duration::from_millis(5)).await;
         let entries: Vec<_> = cell.instances.iter().map(|i| i.http).collect();
-        let record: Arc<Mutex<worker::Record>> = Arc::default();
+        let record: Arc<Mutex<worker::Stats>> = Arc::default();
         let mut started = 0;
         for count in [0, 100, 200, 400] {
             while started < count {
-                let plan = worker::Plan {
+                let plan = worker::Options {
                     name: format!("w{started}"),
                     zone: "a".to_owned(),
                     rack: format!("r{}", started / 6),
@@ -272,7 +272,7 @@
                         memory_mb: 131_072,
                         accelerators: 0,
                     },
-                    fails: false,
+                    fails_tasks: false,
                 };
                 // Each worker uses one instance, as it does behind a load balancer.
                 let entry = vec![entries[started % 3]];
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -156,17 +156,17 @@
         let cell = Cell::serving(&["a", "a"], 1, Duration::from_millis(5)).await;
         let upstream = cell.all_upstreams()[0].clone();
         for (behaviour, expected) in [
-            (Behaviour::Short, "bad_answer"),
-            (Behaviour::Crossed, "bad_answer"),
+            (Behaviour::Truncated, "bad_answer"),
+            (Behaviour::MismatchedId, "bad_answer"),
             (Behaviour::Large(100_000), "bad_answer"),
             (Behaviour::Close, "upstream_failed"),
         ] {
-            upstream.behave(behaviour);
+            upstream.set_behaviour(behaviour);
             let id = format!("{behaviour:?}");
             let answer = cell.order(0, &id, "x").await.expect("answers");
             let (kind, run) = kind(answer.body());
             assert_eq!((kind.as_str(), run.as_str()), (expected, "unknown"));
-            upstream.behave(Behaviour::Echo);
+            upstream.set_behaviour(Behaviour::Echo);
             let again = cell.order(0, &id, "x").await.expect("answers");
             assert!(!again.status().is_success());
             assert_eq!(cell.runs(&id), 1);
@@ -236,7 +236,7 @@
 
     async fn bad_input_gets_a_clear_answer_and_changes_nothing() {
         let cell = Cell::serving(&["a", "a"], 1, Duration::from_millis(5)).await;
-        let runs = || cell.all_upstreams()[0].ledger(|l| l.runs.len());
+        let runs = || cell.all_upstreams()[0].stats(|l| l.runs.len());
         let before = runs();
         let big = "x".repeat(20_000);
         let cases = [
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use plantaincross::config::Source;
 use plantaincross::core::control::Status;
 use plantaincross::http::{GiveBody, operator_token};
-use plantaincross::standin::{Plan, Upstream};
+use plantaincross::standin::{Options, Upstream};
 use plantaincross::util::sha256;
 use relay::Relay;
 use tokio::time::{Instant, sleep};
@@ -222,9 +222,9 @@
     pub async fn relayed_upstream(&self, zone: &str, name: &str) -> (Upstream, Relay) {
         let target = free_port();
         let relay = Relay::start(target).await;
-        let plan = Plan {
+        let plan = Options {
             port: Some(target.port()),
-            announced: Some(relay.address),
+            advertised: Some(relay.address),
             ..plan(zone, name, 4, Duration::from_millis(5))
         };
         (self.start_upstream(plan).await, relay)
@@ -240,7 +240,7 @@
         self.start_upstream(plan(zone, name, slots, service)).await
     }
 
-    async fn start_upstream(&self, plan: Plan) -> Upstream {
+    async fn start_upstream(&self, plan: Options) -> Upstream {
         let entries = self.instances.iter().map(|i| i.http).collect();
         let upstream = Upstream::start(plan, entries, None, self.token.child_token())
             .await
@@ -330,21 +330,21 @@
     pub fn runs(&self, id: &str) -> u32 {
         self.all_upstreams()
             .iter()
-            .map(|u| u.ledger(|l| l.runs.get(id).copied().unwrap_or(0)))
+            .map(|u| u.stats(|l| l.runs.get(id).copied().unwrap_or(0)))
             .sum()
     }
 
     /// Panics if an upstream ever had more requests or connections than it announced.
     pub fn check_capacity(&self) {
         for upstream in self.all_upstreams() {
-            upstream.ledger(|l| {
+            upstream.stats(|l| {
                 assert!(
-                    l.most_running <= 4,
+                    l.peak_running <= 4,
                     "{} ran {}",
                     upstream.name(),
-                    l.most_running
+                    l.peak_running
                 );
-                assert!(l.most_connections <= 64, "{}", l.most_connections);
+                assert!(l.peak_connections <= 64, "{}", l.peak_connections);
             });
         }
     }
@@ -391,17 +391,17 @@
     }
 }
 
-fn plan(zone: &str, name: &str, slots: u32, service: Duration) -> Plan {
-    Plan {
+fn plan(zone: &str, name: &str, slots: u32, service: Duration) -> Options {
+    Options {
         name: name.to_owned(),
         zone: zone.to_owned(),
         service: "orders".to_owned(),
         slots,
         connections: 64,
         service_time: service,
-        counts: true,
+        reports_running: true,
         port: None,
-        announced: None,
+        advertised: None,
     }
 }
 
--- a/tests/tasks.rs
+++ b/tests/tasks.rs
@@ -8,15 +8,15 @@
 
 use plantaincross::core::job::Size;
 use plantaincross::http::{JobInfo, Submitted};
-use plantaincross::standin::worker::{self, Record};
+use plantaincross::standin::worker::{self, Stats};
 use support::{Cell, WAIT_TIMEOUT, kind};
 use tokio::time::{Instant, sleep};
 
-fn start_workers(cell: &Cell, zone: &str, count: usize) -> Arc<Mutex<Record>> {
-    let record: Arc<Mutex<Record>> = Arc::default();
+fn start_workers(cell: &Cell, zone: &str, count: usize) -> Arc<Mutex<Stats>> {
+    let record: Arc<Mutex<Stats>> = Arc::default();
     let entries: Vec<_> = cell.instances.iter().map(|i| i.http).collect();
     for at in 0..count {
-        let plan = worker::Plan {
+        let plan = worker::Options {
             name: format!("w-{zone}-{at}"),
             zone: zone.to_owned(),
             rack: format!("r{at}"),
@@ -25,7 +25,7 @@
                 memory_mb: 8_000,
                 accelerators: 0,
             },
-            fails: false,
+            fails_tasks: false,
         };
         let token = cell.token.child_token();
         let record = Arc::clone(&record);
@@ -101,8 +101,12 @@
     let again = submit_until_accepted(&cell, follower, "three", 40).await;
     assert_eq!(again.id, third.id);
     let record = record.lock().expect("record");
-    assert_eq!(record.most, 1, "a task ran on {} workers", record.most);
-    assert_eq!(record.ended, 120);
+    assert_eq!(
+        record.max_copies, 1,
+        "a task ran on {} workers",
+        record.max_copies
+    );
+    assert_eq!(record.completed, 120);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/tests/timed.rs
+++ b/tests/timed.rs
@@ -23,7 +23,7 @@
 timed! {
     async fn silent_upstream_costs_one_timeout_and_is_avoided() {
         let cell = Cell::serving(&["a"], 3, Duration::from_millis(5)).await;
-        cell.all_upstreams()[0].behave(Behaviour::Silent);
+        cell.all_upstreams()[0].set_behaviour(Behaviour::Silent);
         let mut late = 0;
         let mut client = cell.client(0, "big-key");
         for _ in 0..60 {
@@ -57,14 +57,14 @@
     async fn leaving_upstream_gets_nothing_new() {
         let cell = Cell::serving(&["a", "a"], 2, Duration::from_millis(5)).await;
         let upstreams = cell.all_upstreams();
-        upstreams[0].leave(true);
+        upstreams[0].set_leaving(true);
         sleep(Duration::from_millis(2_500)).await;
-        let before = upstreams[0].ledger(|l| l.runs.len());
+        let before = upstreams[0].stats(|l| l.runs.len());
         for turn in 0..40 {
             let answer = cell.get(turn % 2, "big-key").await.expect("answers");
             assert!(answer.status().is_success(), "{answer:?}");
         }
-        assert_eq!(upstreams[0].ledger(|l| l.runs.len()), before);
+        assert_eq!(upstreams[0].stats(|l| l.runs.len()), before);
     }
 
     async fn withdrawn_key_is_dead_everywhere_within_two_seconds() {
@@ -164,7 +164,7 @@
                 let running: u32 = cell
                     .all_upstreams()
                     .iter()
-                    .map(|u| u.ledger(|l| l.running))
+                    .map(|u| u.stats(|l| l.running))
                     .sum();
                 most = most.max(running);
                 assert!(running <= 8, "{running} running");
