--- a/src/core/agent.rs
+++ b/src/core/agent.rs
@@ -12,9 +12,9 @@
 use crate::wire;
 
 /// Interval of reports while no requests wait.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval of reports while requests wait.
-const REPORT_STARVED_EVERY: Duration = Duration::from_millis(40);
+const REPORT_QUEUED_INTERVAL: Duration = Duration::from_millis(40);
 /// Waiting time of requests after which other zones are asked for slots.
 const REMOTE_AFTER: Duration = Duration::from_millis(300);
 
@@ -47,7 +47,7 @@
 pub struct Agent {
     zone: String,
     sources: BTreeMap<String, Source>,
-    starved_since: Option<Moment>,
+    queued_since: Option<Moment>,
     leaving: bool,
 }
 
@@ -57,7 +57,7 @@
         Self {
             zone,
             sources: BTreeMap::new(),
-            starved_since: None,
+            queued_since: None,
             leaving: false,
         }
     }
@@ -106,24 +106,24 @@
 
     /// Returns the reports due at `now`, each with its receiver.
     pub fn tick(&mut self, now: Moment, gate: &mut Gate) -> Vec<(InstanceId, wire::Report)> {
-        let starved = gate.has_queued_requests();
-        if !starved {
-            self.starved_since = None;
-        } else if self.starved_since.is_none() {
-            self.starved_since = Some(now);
+        let has_queued = gate.has_queued_requests();
+        if !has_queued {
+            self.queued_since = None;
+        } else if self.queued_since.is_none() {
+            self.queued_since = Some(now);
         }
         let ask_remote = self
-            .starved_since
+            .queued_since
             .is_some_and(|since| now.since(since) >= REMOTE_AFTER);
-        let every = if starved || self.leaving {
-            REPORT_STARVED_EVERY
+        let interval = if has_queued || self.leaving {
+            REPORT_QUEUED_INTERVAL
         } else {
-            REPORT_EVERY
+            REPORT_INTERVAL
         };
         let zone = self.zone.clone();
         let mut reports = Vec::new();
         for (name, source) in &mut self.sources {
-            if now.since(source.sent_at) < every {
+            if now.since(source.sent_at) < interval {
                 continue;
             }
             if !source.local && !ask_remote && !gate.return_all_slots(source.key) {
@@ -230,25 +230,25 @@
             report.kept_idle = *kept_idle;
             report.slots = slots
                 .iter()
-                .map(|&(c, held)| opening_balance(c, held))
+                .map(|&(resource, given)| opening_balance(resource, given))
                 .collect();
             report.units = units
                 .iter()
-                .map(|&(c, held)| opening_balance(c, held))
+                .map(|&(resource, given)| opening_balance(resource, given))
                 .collect();
             return report;
         }
         let slots: Vec<(ResourceId, u64)> = gate
             .slot_accounts(self.key)
             .into_iter()
-            .map(|(cell, account)| (cell, account.returned))
+            .map(|(resource, account)| (resource, account.returned))
             .collect();
         report.slots = self.changed_balances(&slots);
         if self.local {
             let units: Vec<(ResourceId, u64)> = gate
                 .unit_accounts()
                 .into_iter()
-                .map(|(cell, account)| (cell, account.returned))
+                .map(|(resource, account)| (resource, account.returned))
                 .collect();
             report.units = self.changed_balances(&units);
         }
@@ -257,17 +257,17 @@
 
     fn changed_balances(&mut self, counters: &[(ResourceId, u64)]) -> Vec<wire::Balance> {
         let mut balances = Vec::new();
-        for &(cell, returned) in counters {
-            if self.acked.get(&cell).copied().unwrap_or(0) == returned {
+        for &(resource, returned) in counters {
+            if self.acked.get(&resource).copied().unwrap_or(0) == returned {
                 continue;
             }
             let number = self.number;
-            let unacked = self.unacked.entry(cell).or_insert((returned, number));
+            let unacked = self.unacked.entry(resource).or_insert((returned, number));
             if unacked.0 != returned {
                 *unacked = (returned, number);
             }
             balances.push(wire::Balance {
-                resource: cell.0,
+                resource: resource.0,
                 given: 0,
                 returned,
             });
@@ -277,9 +277,9 @@
 
     fn acknowledge(&mut self, answered: u64) {
         let acked = &mut self.acked;
-        self.unacked.retain(|&cell, &mut (returned, number)| {
+        self.unacked.retain(|&resource, &mut (returned, number)| {
             if number <= answered {
-                acked.insert(cell, returned);
+                acked.insert(resource, returned);
                 return false;
             }
             true
@@ -300,11 +300,11 @@
         slots: info.slots,
         connections: info.connections,
     };
-    let cell = resource_of(&announcement);
+    let resource = resource_of(&announcement);
     gate.put_upstream(announcement, source.key, !source.local);
-    gate.set_leaving(cell, info.leaving);
+    gate.set_leaving(resource, info.leaving);
     if info.leaving {
-        gate.return_upstream(cell);
+        gate.return_upstream(resource);
     }
 }
 
@@ -320,10 +320,10 @@
         .collect()
 }
 
-const fn opening_balance(cell: ResourceId, held: u64) -> wire::Balance {
+const fn opening_balance(resource: ResourceId, given: u64) -> wire::Balance {
     wire::Balance {
-        resource: cell.0,
-        given: held,
+        resource: resource.0,
+        given,
         returned: 0,
     }
 }
--- a/src/core/allocator/division.rs
+++ b/src/core/allocator/division.rs
@@ -50,7 +50,7 @@
         let mut services: Vec<String> = self
             .upstreams
             .values()
-            .map(|h| h.announcement().service.clone())
+            .map(|u| u.announcement().service.clone())
             .collect();
         services.sort_unstable();
         services.dedup();
@@ -68,12 +68,12 @@
         let resources: Vec<ResourceId> = self
             .upstreams
             .iter()
-            .filter(|(_, h)| h.announcement().service == service && h.is_usable())
+            .filter(|(_, u)| u.announcement().service == service && u.is_usable())
             .map(|(&resource, _)| resource)
             .collect();
         let capacity: u64 = resources
             .iter()
-            .map(|c| self.upstreams[c].issuer().capacity())
+            .map(|resource| self.upstreams[resource].issuer().capacity())
             .sum();
         let mut held: BTreeMap<InstanceId, u64> = BTreeMap::new();
         for resource in &resources {
@@ -82,7 +82,7 @@
             }
         }
         let demands = self.slot_demands(service, capacity);
-        let claims: Vec<UnitClaimant> = self
+        let claimants: Vec<UnitClaimant> = self
             .open_holders()
             .map(|(id, h)| UnitClaimant {
                 weight: 1,
@@ -91,23 +91,23 @@
             })
             .collect();
         let ids: Vec<InstanceId> = self.open_holders().map(|(id, _)| id).collect();
-        let allocations = allocations(capacity, &ids, &claims, &held);
+        let allocations = allocations(capacity, &ids, &claimants, &held);
         self.give_slots(&resources, &allocations);
         let free: u64 = resources
             .iter()
-            .map(|c| self.upstreams[c].issuer().free())
+            .map(|resource| self.upstreams[resource].issuer().free())
             .sum();
         let held = |id| {
             resources
                 .iter()
-                .map(|c| self.upstreams[c].issuer().account(id).balance())
+                .map(|resource| self.upstreams[resource].issuer().account(id).balance())
                 .sum()
         };
         let after: Vec<Allocation> = allocations
             .iter()
-            .map(|p| Allocation {
-                held: held(p.holder),
-                ..*p
+            .map(|a| Allocation {
+                held: held(a.holder),
+                ..*a
             })
             .collect();
         for (id, units) in plan_recalls(free, 0, &after) {
@@ -129,17 +129,17 @@
         }
         let claimants: Vec<Claimant> = by_team
             .iter()
-            .map(|(team, parts)| Claimant {
+            .map(|(team, demands)| Claimant {
                 weight: f64::from(self.units.get(*team).map_or(1, |u| u.share.max(1))),
-                demand: parts.iter().map(|&(_, units)| units as f64).sum(),
+                demand: demands.iter().map(|&(_, units)| units as f64).sum(),
             })
             .collect();
         let mut shares: BTreeMap<InstanceId, f64> = BTreeMap::new();
-        for (given, (claimant, parts)) in divide(capacity as f64, &claimants)
+        for (given, (claimant, demands)) in divide(capacity as f64, &claimants)
             .into_iter()
             .zip(claimants.iter().zip(by_team.values()))
         {
-            for &(id, units) in parts {
+            for &(id, units) in demands {
                 let part = given * units as f64 / claimant.demand.max(1.0);
                 *shares.entry(id).or_default() += part;
             }
@@ -195,7 +195,7 @@
             issuer.accounts().map(|(id, a)| (id, a.balance())).collect();
         let capacity = issuer.capacity().saturating_sub(self.units[team].recalled);
         let mut ids: Vec<InstanceId> = self.open_holders().map(|(id, _)| id).collect();
-        let mut claims: Vec<UnitClaimant> = self
+        let mut claimants: Vec<UnitClaimant> = self
             .open_holders()
             .map(|(_, h)| UnitClaimant {
                 weight: 1,
@@ -210,12 +210,12 @@
             .collect();
         // Tasks reserve their units themselves; here these are only kept free.
         ids.push(TASK_HOLDER);
-        claims.push(UnitClaimant {
+        claimants.push(UnitClaimant {
             weight: 1,
             demand: self.units[team].task_demand,
             takes_surplus: false,
         });
-        let mut allocations = allocations(capacity, &ids, &claims, &held);
+        let mut allocations = allocations(capacity, &ids, &claimants, &held);
         let task_allocation = allocations.pop().expect("just added");
         let mut after = Vec::new();
         for allocation in &allocations {
@@ -244,19 +244,19 @@
         let recalled = self.units[team].recalled;
         let free = issuer.free().saturating_sub(recalled);
         let task_deficit = task_allocation.deficit();
-        let mut wanted = plan_recalls(
+        let mut recalls = plan_recalls(
             free.saturating_sub(task_deficit),
             task_deficit.saturating_sub(free),
             &after,
         );
-        if (issuer.excess() > 0 || recalled > issuer.free()) && wanted.is_empty() {
-            wanted = after
+        if (issuer.excess() > 0 || recalled > issuer.free()) && recalls.is_empty() {
+            recalls = after
                 .iter()
-                .filter(|p| p.surplus() > 0)
-                .map(|p| (p.holder, p.surplus()))
+                .filter(|a| a.surplus() > 0)
+                .map(|a| (a.holder, a.surplus()))
                 .collect();
         }
-        for (id, units) in wanted {
+        for (id, units) in recalls {
             let holder = self.holders.get_mut(&id).expect("open holder");
             holder.recall_units.insert(team.to_owned(), units);
             holder.urgent = true;
@@ -267,11 +267,11 @@
 fn allocations(
     capacity: u64,
     ids: &[InstanceId],
-    claims: &[UnitClaimant],
+    claimants: &[UnitClaimant],
     held: &BTreeMap<InstanceId, u64>,
 ) -> Vec<Allocation> {
     ids.iter()
-        .zip(targets(capacity, claims))
+        .zip(targets(capacity, claimants))
         .map(|(&holder, target)| Allocation {
             holder,
             target,
@@ -283,13 +283,13 @@
 /// Returns how many units to recall from holders above their targets, so that together
 /// with `free` they cover the deficits of the others and `extra` more units.
 fn plan_recalls(free: u64, extra: u64, allocations: &[Allocation]) -> Vec<(InstanceId, u64)> {
-    let deficit: u64 = allocations.iter().map(|p| p.deficit()).sum();
-    let mut wanted = deficit.saturating_sub(free) + extra;
+    let deficit: u64 = allocations.iter().map(|a| a.deficit()).sum();
+    let mut missing = deficit.saturating_sub(free) + extra;
     let mut recalls = Vec::new();
     for allocation in allocations {
-        let units = allocation.surplus().min(wanted);
+        let units = allocation.surplus().min(missing);
         if units > 0 {
-            wanted -= units;
+            missing -= units;
             recalls.push((allocation.holder, units));
         }
     }
--- a/src/core/allocator/expiry.rs
+++ b/src/core/allocator/expiry.rs
@@ -14,11 +14,11 @@
     /// Removes holders whose allotments have expired. Their accounts stay open until the
     /// run limit has passed, as requests that they sent may still be running.
     pub(super) fn expire_holders(&mut self, now: Moment) {
-        let term = with_clock_margin(ALLOTMENT_LEASE);
+        let lease = with_clock_margin(ALLOTMENT_LEASE);
         let expired: Vec<InstanceId> = self
             .holders
             .iter()
-            .filter(|(_, h)| now >= h.last_heard + term)
+            .filter(|(_, h)| now >= h.last_heard + lease)
             .map(|(&id, _)| id)
             .collect();
         for id in expired {
--- a/src/core/claim.rs
+++ b/src/core/claim.rs
@@ -85,7 +85,7 @@
 struct Entry {
     body: u64,
     owner: InstanceId,
-    at: Moment,
+    claimed_at: Moment,
     state: State,
 }
 
@@ -158,15 +158,15 @@
         Verdict::Granted
     }
 
-    fn insert(&mut self, id: Id, body: u64, owner: InstanceId, at: Moment, state: State) {
+    fn insert(&mut self, id: Id, body: u64, owner: InstanceId, claimed_at: Moment, state: State) {
         let entry = Entry {
             body,
             owner,
-            at,
+            claimed_at,
             state,
         };
         self.entries.insert(id, entry);
-        self.order.push_back((at, id));
+        self.order.push_back((claimed_at, id));
     }
 
     /// Records that the owner's run ended, with the answer if it is kept.
@@ -217,7 +217,7 @@
     /// Merges copies. A final state replaces `Running`.
     pub fn merge(&mut self, now: Moment, records: Vec<Record>) {
         for record in records {
-            let at = Moment(now.0.saturating_sub(record.age.as_micros() as u64));
+            let claimed_at = Moment(now.0.saturating_sub(record.age.as_micros() as u64));
             let is_new = match self.entries.get(&record.id) {
                 None => true,
                 Some(old) => old.state == State::Running && record.state != State::Running,
@@ -234,7 +234,7 @@
                     self.answer_bytes += answer.body.len();
                     self.answers.push_back(id);
                 }
-                self.insert(id, body, owner, at, state);
+                self.insert(id, body, owner, claimed_at, state);
             }
         }
     }
@@ -251,7 +251,7 @@
             id,
             body: entry.body,
             owner: entry.owner,
-            age: now.since(entry.at),
+            age: now.since(entry.claimed_at),
             state: entry.state.clone(),
         })
     }
@@ -264,7 +264,7 @@
                 id,
                 body: entry.body,
                 owner: entry.owner,
-                age: now.since(entry.at),
+                age: now.since(entry.claimed_at),
                 state: match &entry.state {
                     State::Answered(_) => State::Answered(None),
                     other => other.clone(),
@@ -284,12 +284,16 @@
 
     /// Removes claims that are older than `retention`.
     pub fn expire(&mut self, now: Moment, retention: Duration) {
-        while let Some(&(at, id)) = self.order.front() {
-            if now < at + retention {
+        while let Some(&(claimed_at, id)) = self.order.front() {
+            if now < claimed_at + retention {
                 break;
             }
             self.order.pop_front();
-            if self.entries.get(&id).is_some_and(|e| e.at == at) {
+            if self
+                .entries
+                .get(&id)
+                .is_some_and(|e| e.claimed_at == claimed_at)
+            {
                 self.remove_entry(id);
             }
         }
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -13,11 +13,11 @@
 use crate::wire::{Entry, RaftBody, TimeoutNow, Vote, VoteReply};
 
 /// Shortest time after which a candidate without a majority starts another election.
-/// A round of votes takes this long if each disk sync takes 120 ms, which is thirty
-/// times the usual.
+/// A round of votes takes this long if each disk sync takes 120 ms, thirty times its usual
+/// duration.
 const CANDIDATE_TIMEOUT_MIN: Duration = Duration::from_millis(250);
-/// Longest such time. The range lets candidates that split the vote draw different
-/// times.
+/// Longest time after which such a candidate starts another election. The range lets
+/// candidates that split the vote draw different times.
 const CANDIDATE_TIMEOUT_MAX: Duration = Duration::from_millis(500);
 
 impl Replica {
--- a/src/core/control/claims.rs
+++ b/src/core/control/claims.rs
@@ -14,9 +14,9 @@
 /// Call number of a zone's demand reports to the root leader.
 pub const DEMAND_CALL: u64 = FIRST_INTERNAL_CALL;
 /// Maximum time that a new leader waits for copies from the former roster.
-const RECOVERY_MAX: Duration = Duration::from_millis(1_500);
+const RECOVERY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Interval at which all claims are sent to members that lack some.
-const SYNC_EVERY: Duration = Duration::from_millis(1_000);
+const SYNC_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum number of claims in one message.
 const BATCH_CLAIMS_MAX: usize = 4_000;
 /// Number of instances in other zones that get copies if the zone has no other
@@ -35,7 +35,7 @@
 /// Replication state of the claims.
 #[derive(Debug, Default)]
 pub struct Replication {
-    next: u64,
+    last_number: u64,
     pending_claims: BTreeMap<u64, PendingClaim>,
     calls: BTreeMap<u64, Purpose>,
     recovery: Option<Recovery>,
@@ -58,7 +58,7 @@
     missing: BTreeSet<InstanceId>,
     former: InstanceId,
     complete: bool,
-    until: Moment,
+    deadline: Moment,
 }
 
 /// Returns whether `call` was made by the control state itself.
@@ -98,8 +98,8 @@
             self.answer(now, origin, Answer::Verdict(refused));
             return;
         }
-        self.replication.next += 1;
-        let number = self.replication.next;
+        self.replication.last_number += 1;
+        let number = self.replication.last_number;
         let pending = PendingClaim {
             origin,
             id: attempt.id,
@@ -136,14 +136,14 @@
 
     // All other instances of the zone, so that each of them can become leader.
     fn copy_targets(&self) -> Vec<InstanceId> {
-        let peers = self.peers.values().map(|k| &k.peer);
-        let own: Vec<InstanceId> = peers
+        let peers = self.peers.values().map(|state| &state.peer);
+        let same_zone: Vec<InstanceId> = peers
             .clone()
             .filter(|p| p.zone == self.identity.zone)
             .map(|p| p.id)
             .collect();
-        if !own.is_empty() {
-            return own;
+        if !same_zone.is_empty() {
+            return same_zone;
         }
         peers.map(|p| p.id).take(COPIES_OUTSIDE_ZONE).collect()
     }
@@ -167,8 +167,8 @@
     }
 
     fn call_internal(&mut self, now: Moment, to: InstanceId, query: Query, purpose: Purpose) {
-        self.replication.next += 1;
-        let call = FIRST_INTERNAL_CALL + self.replication.next;
+        self.replication.last_number += 1;
+        let call = FIRST_INTERNAL_CALL + self.replication.last_number;
         self.replication.calls.insert(call, purpose);
         self.route(now, Origin::Local(call), &Target::Instance(to), query);
     }
@@ -245,7 +245,7 @@
             .map(|m| m.id)
             .filter(|id| *id != former.leader)
             .collect();
-        let own = others.contains(&self.identity.id)
+        let complete = others.contains(&self.identity.id)
             && self.claims_of(&zone).synced_by() == Some(former.leader);
         let missing: BTreeSet<InstanceId> = others
             .iter()
@@ -253,10 +253,10 @@
             .filter(|id| *id != self.identity.id)
             .collect();
         self.replication.recovery = Some(Recovery {
-            complete: own,
+            complete,
             missing: missing.clone(),
             former: former.leader,
-            until: now + RECOVERY_MAX,
+            deadline: now + RECOVERY_TIMEOUT,
         });
         for member in missing {
             let query = Query::Fetch(zone.clone());
@@ -281,7 +281,7 @@
             return;
         }
         if let Some(recovery) = &self.replication.recovery {
-            if !recovery.missing.is_empty() && now < recovery.until {
+            if !recovery.missing.is_empty() && now < recovery.deadline {
                 return;
             }
             let is_complete = recovery.complete && recovery.missing.is_empty();
@@ -292,7 +292,7 @@
             }
         }
         if now >= self.replication.next_sync_at {
-            self.replication.next_sync_at = now + SYNC_EVERY;
+            self.replication.next_sync_at = now + SYNC_INTERVAL;
             self.sync_members(now);
         }
     }
@@ -302,8 +302,10 @@
         let unsynced: Vec<InstanceId> = self
             .peers
             .values()
-            .filter(|k| k.peer.zone == zone && !self.replication.synced.contains(&k.peer.id))
-            .map(|k| k.peer.id)
+            .filter(|state| {
+                state.peer.zone == zone && !self.replication.synced.contains(&state.peer.id)
+            })
+            .map(|state| state.peer.id)
             .collect();
         if unsynced.is_empty() {
             return;
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -33,15 +33,15 @@
 use crate::wire::{Body, Voter};
 
 /// Interval at which pings carry the addresses of all known peers.
-const GOSSIP_EVERY: Duration = Duration::from_secs(5);
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval of pings on each link.
-const PING_EVERY: Duration = Duration::from_millis(500);
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a peer counts as disconnected.
 pub const PEER_SILENCE_MAX: Duration = Duration::from_millis(2_500);
 /// Gap between ticks above which this process counts as having been paused.
 const OWN_PAUSE_MIN: Duration = Duration::from_millis(500);
 /// Interval at which key revocations are proposed until they are committed.
-const WITHDRAW_EVERY: Duration = Duration::from_secs(1);
+const WITHDRAWAL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time after which a call to another instance fails if it was not answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// Size of the log from which on a snapshot is made.
@@ -411,8 +411,8 @@
             name: self.identity.name.clone(),
         }];
         for name in names.iter().skip(1) {
-            let peer = self.peers.values().find(|k| k.peer.name == *name);
-            let Some(known) = peer.filter(|k| !k.peer.founded && k.peer.durable) else {
+            let peer = self.peers.values().find(|state| state.peer.name == *name);
+            let Some(known) = peer.filter(|state| !state.peer.founded && state.peer.durable) else {
                 return;
             };
             voters.push(Voter {
--- a/src/core/control/peers.rs
+++ b/src/core/control/peers.rs
@@ -4,8 +4,9 @@
 
 use super::query::Target;
 use super::{
-    Answer, CALL_TIMEOUT, Control, Effect, GOSSIP_EVERY, OWN_PAUSE_MIN, Origin, PEER_SILENCE_MAX,
-    PING_EVERY, Peer, PeerState, Pending, Query, WITHDRAW_EVERY, claims, root,
+    Answer, CALL_TIMEOUT, Control, Effect, GOSSIP_INTERVAL, OWN_PAUSE_MIN, Origin,
+    PEER_SILENCE_MAX, PING_INTERVAL, Peer, PeerState, Pending, Query, WITHDRAWAL_INTERVAL, claims,
+    root,
 };
 use crate::core::registry::{Command, InstanceId};
 use crate::core::time::Moment;
@@ -18,21 +19,21 @@
         self.effects.push(Effect::Event(Event::PeerUp {
             peer: peer.name.clone(),
         }));
-        let known = PeerState {
+        let state = PeerState {
             last_heard: now,
             ping_received: 0,
             ping_received_at: now,
             peer,
         };
-        self.peers.insert(known.peer.id, known);
+        self.peers.insert(state.peer.id, state);
         self.next_gossip_at = now;
         self.next_ping_at = now;
     }
 
     pub(super) fn peer_down(&mut self, now: Moment, id: InstanceId) {
-        if let Some(known) = self.peers.remove(&id) {
+        if let Some(state) = self.peers.remove(&id) {
             self.effects.push(Effect::Event(Event::PeerDown {
-                peer: known.peer.name,
+                peer: state.peer.name,
             }));
         }
         // Calls to this peer will not be answered.
@@ -43,8 +44,8 @@
     // peers does not mean that they are gone.
     pub(super) fn reset_silence_after_pause(&mut self, now: Moment) {
         if now.since(self.last_tick_at) > OWN_PAUSE_MIN {
-            for known in self.peers.values_mut() {
-                known.last_heard = now;
+            for state in self.peers.values_mut() {
+                state.last_heard = now;
             }
         }
         self.last_tick_at = now;
@@ -54,7 +55,7 @@
         let silent: Vec<InstanceId> = self
             .peers
             .iter()
-            .filter(|(_, k)| now.since(k.last_heard) >= PEER_SILENCE_MAX)
+            .filter(|(_, state)| now.since(state.last_heard) >= PEER_SILENCE_MAX)
             .map(|(&id, _)| id)
             .collect();
         for id in silent {
@@ -87,26 +88,26 @@
         if now < self.next_ping_at {
             return;
         }
-        self.next_ping_at = now + PING_EVERY;
+        self.next_ping_at = now + PING_INTERVAL;
         let fresh_age = self.fresh.age(now).map(|age| age.as_micros() as u64);
         let gossips = now >= self.next_gossip_at;
         if gossips {
-            self.next_gossip_at = now + GOSSIP_EVERY;
+            self.next_gossip_at = now + GOSSIP_INTERVAL;
         }
         let peers: Vec<String> = self
             .peers
             .values()
             .filter(|_| gossips)
-            .map(|k| k.peer.address.clone())
+            .map(|state| state.peer.address.clone())
             .collect();
         let pings: Vec<(InstanceId, Ping)> = self
             .peers
             .values()
-            .map(|known| {
+            .map(|state| {
                 let ping = Ping {
                     sent_at: now.0,
-                    echo: known.ping_received,
-                    echo_delay: now.since(known.ping_received_at).as_micros() as u64,
+                    echo: state.ping_received,
+                    echo_delay: now.since(state.ping_received_at).as_micros() as u64,
                     peers: peers.clone(),
                     leaving: self.leaving,
                     fresh_age,
@@ -115,7 +116,7 @@
                     stamp_millis: 0,
                     stamp_count: 0,
                 };
-                (known.peer.id, ping)
+                (state.peer.id, ping)
             })
             .collect();
         for (id, ping) in pings {
@@ -125,11 +126,11 @@
     }
 
     pub(super) fn handle_message(&mut self, now: Moment, from: InstanceId, body: Body) {
-        let Some(known) = self.peers.get_mut(&from) else {
+        let Some(state) = self.peers.get_mut(&from) else {
             return;
         };
-        known.last_heard = now;
-        if known.peer.zone == self.identity.zone {
+        state.last_heard = now;
+        if state.peer.zone == self.identity.zone {
             self.participant.record_message(now, from);
         }
         match body {
@@ -162,12 +163,12 @@
     }
 
     pub(super) fn handle_ping(&mut self, now: Moment, from: InstanceId, ping: &Ping) {
-        let Some(known) = self.peers.get_mut(&from) else {
+        let Some(state) = self.peers.get_mut(&from) else {
             return;
         };
-        known.ping_received = ping.sent_at;
-        known.ping_received_at = now;
-        // The peer sent this ping at least `held` after the echoed ping was sent, and
+        state.ping_received = ping.sent_at;
+        state.ping_received_at = now;
+        // The peer sent this ping at least `echo_delay` after the echoed ping was sent, and
         // its state was `age` old by then. The result is on this instance's clock and
         // never later than the actual moment.
         if let (Some(age), true) = (ping.fresh_age, ping.echo > 0) {
@@ -202,7 +203,7 @@
         if now < self.next_withdrawal_at {
             return;
         }
-        self.next_withdrawal_at = now + WITHDRAW_EVERY;
+        self.next_withdrawal_at = now + WITHDRAWAL_INTERVAL;
         let open: Vec<String> = self
             .tombstones
             .iter()
@@ -251,8 +252,8 @@
         }
         self.peers
             .values()
-            .find(|k| k.peer.replica == replica)
-            .map(|k| k.peer.id)
+            .find(|state| state.peer.replica == replica)
+            .map(|state| state.peer.id)
     }
 
     pub(super) fn handle_call(&mut self, now: Moment, from: InstanceId, call: &Call) {
--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -287,7 +287,7 @@
             if id == self.identity.id {
                 return Some(self.identity.name.clone());
             }
-            self.peers.get(&id).map(|k| k.peer.name.clone())
+            self.peers.get(&id).map(|state| state.peer.name.clone())
         };
         Status {
             id: self.identity.id,
@@ -309,10 +309,10 @@
             peers: self
                 .peers
                 .values()
-                .map(|k| PeerStatus {
-                    id: k.peer.id,
-                    name: k.peer.name.clone(),
-                    zone: k.peer.zone.clone(),
+                .map(|state| PeerStatus {
+                    id: state.peer.id,
+                    name: state.peer.name.clone(),
+                    zone: state.peer.zone.clone(),
                 })
                 .collect(),
             teams: gate.team_stats(),
--- a/src/core/control/root.rs
+++ b/src/core/control/root.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RecordedDemand {
     units: u64,
-    at: Moment,
+    recorded_at: Moment,
 }
 
 impl Control {
@@ -88,7 +88,7 @@
     // the lost voter is removed.
     fn replace_voters(&mut self, now: Moment) {
         let voters = self.replica.voters().to_vec();
-        let wanted = self.identity.founders.len().max(1);
+        let voter_count = self.identity.founders.len().max(1);
         let is_lost = |v: &Voter| {
             self.replica
                 .progress()
@@ -99,7 +99,7 @@
         let Some(lost) = lost else {
             return;
         };
-        let next = if voters.len() > wanted {
+        let next = if voters.len() > voter_count {
             voters.into_iter().filter(|v| *v != lost).collect()
         } else {
             let commit = self.replica.commit();
@@ -140,8 +140,8 @@
         }
         self.peers
             .values()
-            .find(|k| k.peer.replica == replica)
-            .map(|k| k.peer.zone.clone())
+            .find(|state| state.peer.replica == replica)
+            .map(|state| state.peer.zone.clone())
     }
 
     pub(super) fn handle_lease_request(
@@ -236,9 +236,9 @@
                 address: self.identity.address.clone(),
             });
         }
-        self.peers.get(&id).map(|k| Member {
+        self.peers.get(&id).map(|state| Member {
             id,
-            address: k.peer.address.clone(),
+            address: state.peer.address.clone(),
         })
     }
 
@@ -247,8 +247,8 @@
         let peers = self
             .peers
             .values()
-            .filter(|k| k.peer.zone == zone)
-            .map(|k| k.peer.id);
+            .filter(|state| state.peer.zone == zone)
+            .map(|state| state.peer.id);
         own.into_iter()
             .chain(peers)
             .filter_map(|id| self.member(id))
@@ -307,7 +307,7 @@
         for team_demand in &zone_demand.teams {
             let recorded = RecordedDemand {
                 units: team_demand.demand,
-                at: now,
+                recorded_at: now,
             };
             let key = (zone_demand.zone.clone(), team_demand.team.clone());
             self.demands.insert(key, recorded);
@@ -340,19 +340,19 @@
         };
         let zones = &self.registry.zone_names;
         let claimants = self.claimants_for(now, zone_demand, team_demand);
-        let Some(at) = self.registry.zone_index(&zone_demand.zone) else {
+        let Some(index) = self.registry.zone_index(&zone_demand.zone) else {
             return;
         };
-        let goal = targets(issuer.capacity(), &claimants)[usize::from(at.0)];
-        let account = issuer.account(at);
+        let target = targets(issuer.capacity(), &claimants)[usize::from(index.0)];
+        let account = issuer.account(index);
         let balance = account
             .given
             .saturating_sub(account.returned.max(team_demand.returned));
-        let mut give = goal.saturating_sub(balance).min(issuer.free());
+        let mut give = target.saturating_sub(balance).min(issuer.free());
         // Without unmet demand, transfers below an eighth of the target are skipped
         // to save log entries.
         let pressing = team_demand.demand > balance;
-        if !pressing && give * 8 < goal {
+        if !pressing && give * 8 < target {
             give = 0;
         }
         if give > 0 || team_demand.returned > account.returned {
@@ -372,8 +372,8 @@
             *zone != zone_demand.zone && claimant.demand > held
         });
         let is_new_zone = zones.len() > issuer.accounts().filter(|(_, a)| a.balance() > 0).count();
-        if balance > goal && (others_need_units || is_new_zone || issuer.excess() > 0) {
-            recalls.push((team_demand.team.clone(), balance - goal));
+        if balance > target && (others_need_units || is_new_zone || issuer.excess() > 0) {
+            recalls.push((team_demand.team.clone(), balance - target));
         }
     }
 
@@ -385,24 +385,24 @@
         team_demand: &TeamDemand,
     ) -> Vec<(String, u64)> {
         let zones = &self.registry.zone_names;
-        let (Some(issuer), Some(at)) = (
+        let (Some(issuer), Some(index)) = (
             self.registry.limits.get(&team_demand.team),
             self.registry.zone_index(&zone_demand.zone),
         ) else {
             return Vec::new();
         };
-        if team_demand.demand <= issuer.account(at).balance() || issuer.free() > 0 {
+        if team_demand.demand <= issuer.account(index).balance() || issuer.free() > 0 {
             return Vec::new();
         }
         let claimants = self.claimants_for(now, zone_demand, team_demand);
-        let goals = targets(issuer.capacity(), &claimants);
+        let zone_targets = targets(issuer.capacity(), &claimants);
         zones
             .iter()
-            .zip(goals)
+            .zip(zone_targets)
             .filter(|(zone, _)| **zone != zone_demand.zone)
-            .filter_map(|(zone, goal)| {
+            .filter_map(|(zone, target)| {
                 let held = issuer.account(self.registry.zone_index(zone)?).balance();
-                (held > goal).then(|| (zone.clone(), held - goal))
+                (held > target).then(|| (zone.clone(), held - target))
             })
             .collect()
     }
@@ -430,7 +430,7 @@
     fn recorded_demand(&self, now: Moment, zone: &str, team: &str) -> u64 {
         self.demands
             .get(&(zone.to_owned(), team.to_owned()))
-            .filter(|recorded| now.since(recorded.at) < DEMAND_AGE_MAX)
+            .filter(|recorded| now.since(recorded.recorded_at) < DEMAND_AGE_MAX)
             .map_or(0, |recorded| recorded.units)
     }
 }
--- a/src/core/control/tasks.rs
+++ b/src/core/control/tasks.rs
@@ -15,7 +15,7 @@
 use crate::event::Event;
 
 /// Interval at which ended tasks are proposed until they are in the registry.
-const ENDS_EVERY: Duration = Duration::from_secs(1);
+const ENDS_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of ended tasks in one command.
 const ENDS_PER_COMMAND_MAX: usize = 2_000;
 /// Maximum number of jobs in one list.
@@ -103,9 +103,9 @@
         for (team, units) in fleet.take_available_units() {
             allocator.release_task_units(&team, units);
         }
-        for (team, wanted) in fleet.missing_units() {
-            let units = allocator.reserve_task_units(now, &team, wanted);
-            fleet.add_units(&team, units, wanted);
+        for (team, missing) in fleet.missing_units() {
+            let units = allocator.reserve_task_units(now, &team, missing);
+            fleet.add_units(&team, units, missing);
         }
     }
 
@@ -122,7 +122,7 @@
         let repeat = now >= self.next_ends_at;
         let mut batch: Vec<Ended> = new.clone();
         if repeat {
-            self.next_ends_at = now + ENDS_EVERY;
+            self.next_ends_at = now + ENDS_INTERVAL;
             batch.extend(self.unconfirmed_ends.values().cloned());
         }
         self.unconfirmed_ends
--- a/src/core/control/zone.rs
+++ b/src/core/control/zone.rs
@@ -15,11 +15,11 @@
 use crate::wire::{Allotment, Body, LeaseReply, LeaseRequest, Report};
 
 /// Interval of a zone's demand reports to the root leader.
-const DEMAND_REPORT_EVERY: Duration = Duration::from_millis(500);
+const DEMAND_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval of demand reports while a team lacks units.
-const PRESSING_DEMAND_REPORT_EVERY: Duration = Duration::from_millis(100);
+const PRESSING_DEMAND_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which a zone reports the demand of all teams.
-const FULL_DEMAND_REPORT_EVERY: Duration = Duration::from_secs(4);
+const FULL_DEMAND_REPORT_INTERVAL: Duration = Duration::from_secs(4);
 /// Maximum age of the known root group state at which the root group counts as
 /// reachable.
 const ROOT_HEARD_MAX: Duration = Duration::from_millis(2_000);
@@ -41,8 +41,8 @@
         let peers: Vec<InstanceId> = self
             .peers
             .values()
-            .filter(|k| k.peer.zone == self.identity.zone)
-            .map(|k| k.peer.id)
+            .filter(|state| state.peer.zone == self.identity.zone)
+            .map(|state| state.peer.id)
             .collect();
         let root_heard = self.root_heard(now);
         for action in self.participant.tick(now, &peers, root_heard) {
@@ -218,12 +218,12 @@
         let demands = allocator.unit_demands();
         let is_pressing = |d: &UnitDemand| d.demand > d.capacity;
         let every = if demands.iter().any(is_pressing) {
-            PRESSING_DEMAND_REPORT_EVERY
+            PRESSING_DEMAND_REPORT_INTERVAL
         } else {
-            DEMAND_REPORT_EVERY
+            DEMAND_REPORT_INTERVAL
         };
         self.next_report_at = now + every;
-        let all = now.since(self.full_report_at) >= FULL_DEMAND_REPORT_EVERY;
+        let all = now.since(self.full_report_at) >= FULL_DEMAND_REPORT_INTERVAL;
         if all {
             self.full_report_at = now;
         }
--- a/src/core/fleet/gang.rs
+++ b/src/core/fleet/gang.rs
@@ -121,7 +121,7 @@
         let mut candidates: Vec<(u64, WorkerKey)> = (0u32..)
             .zip(&self.workers)
             .filter(|(_, w)| w.is_open() && gain_of(w) > 0)
-            .map(|(at, w)| (w.reserved.cpu_milli, WorkerKey(at)))
+            .map(|(index, w)| (w.reserved.cpu_milli, WorkerKey(index)))
             .collect();
         candidates.sort_unstable();
         for (_, key) in candidates {
--- a/src/core/fleet/health.rs
+++ b/src/core/fleet/health.rs
@@ -10,7 +10,7 @@
 /// to a single worker.
 const COMMON_FAILURE_RATE_MILLI: u32 = 500;
 /// Length of the first quarantine; doubles with each further one.
-const QUARANTINE_BASE: Duration = Duration::from_secs(10);
+const QUARANTINE_MIN: Duration = Duration::from_secs(10);
 /// Longest quarantine of a worker.
 const QUARANTINE_MAX: Duration = Duration::from_secs(600);
 
@@ -38,13 +38,13 @@
 pub struct Health {
     consecutive_failures: u32,
     backoff_level: u32,
-    until: Option<Moment>,
+    quarantined_until: Option<Moment>,
 }
 
 impl Health {
     /// Returns whether the worker is quarantined and gets no new tasks.
     pub const fn is_quarantined(&self) -> bool {
-        self.until.is_some()
+        self.quarantined_until.is_some()
     }
 
     /// Returns whether at least its two latest runs failed, so that the worker may be the
@@ -63,23 +63,23 @@
         self.consecutive_failures += 1;
         if self.consecutive_failures < CONSECUTIVE_FAILURES_MAX
             || rate.is_common()
-            || self.until.is_some()
+            || self.quarantined_until.is_some()
         {
             return None;
         }
-        let length = QUARANTINE_BASE
+        let duration = QUARANTINE_MIN
             .saturating_mul(1 << self.backoff_level.min(10))
             .min(QUARANTINE_MAX);
         self.backoff_level += 1;
-        self.until = Some(now + length);
-        Some(length)
+        self.quarantined_until = Some(now + duration);
+        Some(duration)
     }
 
     /// Ends a quarantine whose time is up and returns whether it did. The next failure
     /// starts another quarantine.
     pub fn tick(&mut self, now: Moment) -> bool {
-        if self.until.is_some_and(|until| now >= until) {
-            self.until = None;
+        if self.quarantined_until.is_some_and(|until| now >= until) {
+            self.quarantined_until = None;
             self.consecutive_failures = CONSECUTIVE_FAILURES_MAX - 1;
             return true;
         }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -197,7 +197,7 @@
         self.to_notify.insert(key);
     }
 
-    /// Returns the ids of all known jobs.
+    /// Returns the IDs of all known jobs.
     pub fn job_ids(&self) -> impl Iterator<Item = Id> {
         self.jobs.keys().copied()
     }
@@ -245,16 +245,16 @@
     /// Returns how many units each team lacks for its waiting tasks, up to what one tick
     /// can use.
     pub fn missing_units(&self) -> Vec<(String, u64)> {
-        let mut wanted: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
+        let mut by_team: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.waiting.is_empty()) {
-            let (units, largest) = wanted.entry(&job.team).or_default();
+            let (units, largest) = by_team.entry(&job.team).or_default();
             let waiting = job.waiting.len() as u64;
             *units += waiting;
             if job.spec.class == Class::AllAtOnce {
                 *largest = waiting.max(*largest);
             }
         }
-        wanted
+        by_team
             .into_iter()
             .filter_map(|(team, (units, largest))| {
                 let available = self.teams.get(team).map_or(0, |t| t.available_units);
--- a/src/core/fleet/place.rs
+++ b/src/core/fleet/place.rs
@@ -22,30 +22,30 @@
         let mut budget = PLACEMENTS_PER_TICK_MAX;
         self.place_urgent(now, &mut budget);
         self.place_gangs(now);
-        let mut done: Vec<String> = Vec::new();
+        let mut skipped: Vec<String> = Vec::new();
         while budget > 0 {
-            let Some(team) = self.next_team(&done) else {
+            let Some(team) = self.next_team(&skipped) else {
                 break;
             };
             if self.place_task_of_team(now, &team) {
                 budget -= 1;
             } else {
-                done.push(team);
+                skipped.push(team);
             }
         }
     }
 
     // Returns the next team by the configured order: the one furthest below its share, or
     // the one whose first job has waited longest relative to its estimated run time.
-    fn next_team(&self, done: &[String]) -> Option<String> {
-        let mut open = self
+    fn next_team(&self, skipped: &[String]) -> Option<String> {
+        let mut candidates = self
             .team_order
             .iter()
             .map(|(_, name)| name)
-            .filter(|name| !done.contains(name));
+            .filter(|name| !skipped.contains(name));
         match self.policy {
-            Order::Share => open.next().cloned(),
-            Order::Wait => open
+            Order::Share => candidates.next().cloned(),
+            Order::Wait => candidates
                 .min_by_key(|name| {
                     let first = self.teams[*name].waiting.first();
                     first.map(|(_, id)| {
@@ -304,8 +304,8 @@
             .filter_map(|task| {
                 let job = self.jobs.get(&task.job)?;
                 let placement = job.placed.get(&task.index)?;
-                let lower = !job.spec.urgent && job.spec.class == Class::Batch;
-                (lower && !placement.evicting).then_some((placement.size, *task))
+                let is_preemptible = !job.spec.urgent && job.spec.class == Class::Batch;
+                (is_preemptible && !placement.evicting).then_some((placement.size, *task))
             })
             .collect();
         candidates.sort_unstable_by(|a, b| b.cmp(a));
@@ -350,11 +350,11 @@
             .collect();
         for (task, size) in preempting {
             let worker = &mut self.workers[key.0 as usize];
-            let room = worker
+            let available = worker
                 .total
                 .minus(worker.reserved)
                 .minus(worker.gang_reserved);
-            if !room.fits(size) {
+            if !available.fits(size) {
                 continue;
             }
             worker.preempting.remove(&task);
--- a/src/core/fleet/poll.rs
+++ b/src/core/fleet/poll.rs
@@ -12,7 +12,8 @@
 use crate::error::{Error, Kind, Result};
 use crate::event::Event;
 
-/// Base of the pause of a job after consecutive failures; doubles with each further one.
+/// Half of the first pause of a job after failures; the pause doubles with each further
+/// failure.
 const BACKOFF_BASE: Duration = Duration::from_secs(1);
 /// Longest pause of a job after failures.
 const BACKOFF_MAX: Duration = Duration::from_secs(300);
@@ -176,7 +177,10 @@
     pub fn orders(&mut self, now: Moment, name: &str, force: bool) -> Option<Orders> {
         let key = *self.keys_by_name.get(name)?;
         let worker = &mut self.workers[key.0 as usize];
-        let is_new = worker.starts.values().any(|o| o.first_answer == 0)
+        let is_new = worker
+            .starts
+            .values()
+            .any(|pending| pending.first_answer == 0)
             || !worker.stops.is_empty()
             || !worker.acks.is_empty();
         if !is_new && !force {
@@ -186,13 +190,21 @@
         worker.last_answer = (worker.last_answer + 1).max(self.term << 32);
         worker.lease_until = now + with_clock_margin(WORKER_LEASE);
         let number = worker.last_answer;
-        for pending in worker.starts.values_mut().filter(|o| o.first_answer == 0) {
+        for pending in worker
+            .starts
+            .values_mut()
+            .filter(|pending| pending.first_answer == 0)
+        {
             pending.first_answer = number;
         }
         Some(Orders {
             number,
             lease_ms: WORKER_LEASE.as_millis() as u64,
-            start: worker.starts.values().map(|o| o.start.clone()).collect(),
+            start: worker
+                .starts
+                .values()
+                .map(|pending| pending.start.clone())
+                .collect(),
             stop: worker.stop_orders(),
             ended: std::mem::take(&mut worker.acks),
         })
@@ -235,13 +247,13 @@
         worker.stops.remove(&(end.task, end.attempt));
         let is_current = worker.tasks.get(&end.task) == Some(&end.attempt);
         if !is_current {
-            let is_ending = self
+            let is_unrecorded = self
                 .jobs
                 .get(&end.task.job)
                 .is_some_and(|job| job.unrecorded.contains(&end.task.index));
             let adopts = end.ok && self.adopt_end(key, end);
             // An end that the registry has yet to record is acknowledged after that.
-            if !is_ending && !adopts {
+            if !is_unrecorded && !adopts {
                 let worker = &mut self.workers[key.0 as usize];
                 worker.acks.push((end.task, end.attempt));
             }
@@ -306,9 +318,9 @@
         self.failure_rate.record(ok);
         let rate = self.failure_rate;
         let worker = &mut self.workers[key.0 as usize];
-        if let Some(length) = worker.health.record(now, ok, rate) {
+        if let Some(duration) = worker.health.record(now, ok, rate) {
             let worker = worker.name.clone();
-            let millis = length.as_millis() as u64;
+            let millis = duration.as_millis() as u64;
             self.events
                 .push(Event::WorkerQuarantined { worker, millis });
         }
@@ -415,13 +427,13 @@
     }
 
     pub(super) fn expire_leases(&mut self, now: Moment) {
-        for at in 0..self.workers.len() {
-            let key = WorkerKey(u32::try_from(at).expect("fewer workers"));
-            let worker = &mut self.workers[at];
+        for index in 0..self.workers.len() {
+            let key = WorkerKey(u32::try_from(index).expect("fewer workers"));
+            let worker = &mut self.workers[index];
             if worker.health.tick(now) {
                 self.update_index(key);
             }
-            let worker = &mut self.workers[at];
+            let worker = &mut self.workers[index];
             if !worker.up || now < worker.lease_until {
                 continue;
             }
--- a/src/core/freshness.rs
+++ b/src/core/freshness.rs
@@ -40,7 +40,7 @@
         self.as_of
     }
 
-    /// Returns the time since that moment, or `None` if it is not known yet.
+    /// Returns the age of the applied state at `now`, or `None` if it is not known yet.
     pub fn age(&self, now: Moment) -> Option<Duration> {
         self.as_of.map(|as_of| now.since(as_of))
     }
--- a/src/core/gate/mod.rs
+++ b/src/core/gate/mod.rs
@@ -24,7 +24,7 @@
 use crate::core::time::Moment;
 use crate::error::Kind;
 
-/// Most requests that one team may have waiting for one service, unless configured.
+/// Default limit for the waiting requests of one team for one service.
 pub const DEFAULT_MAX_QUEUED_REQUESTS: usize = 1_000;
 /// Lower bound of the retry delay given with a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
@@ -306,15 +306,15 @@
     /// Ends an assignment: releases its slot and unit, and records the exchange.
     ///
     /// The team was charged the estimated service time at the start. An answered
-    /// exchange is charged what it took beyond the present estimate, a failed one its
-    /// whole time in addition, and an unsent one nothing more.
+    /// exchange is charged the time by which it exceeded the present estimate, a failed one
+    /// its whole time in addition, and an unsent one nothing more.
     pub fn finish(&mut self, now: Moment, assignment: Assignment, completion: Completion) {
-        let took = now.since(assignment.at);
+        let elapsed = now.since(assignment.at);
         let team = &mut self.teams[assignment.team.0 as usize];
         team.holding.release();
         let share = team.share;
         if completion != Completion::Unsent {
-            team.slot_time += took;
+            team.slot_time += elapsed;
         }
         if completion == Completion::Answered {
             team.completed += 1;
@@ -328,11 +328,11 @@
         let queue = &mut service.queue;
         match completion {
             Completion::Answered => {
-                let expected = queue.estimate(now);
-                queue.charge(assignment.team, took.saturating_sub(expected), share);
-                queue.sample(now, took);
+                let estimate = queue.estimate(now);
+                queue.charge(assignment.team, elapsed.saturating_sub(estimate), share);
+                queue.sample(now, elapsed);
             }
-            Completion::Failed => queue.charge(assignment.team, took, share),
+            Completion::Failed => queue.charge(assignment.team, elapsed, share),
             Completion::Unsent => {}
         }
     }
@@ -375,8 +375,8 @@
             h.acquire();
         });
         let state = &mut self.services[service.0 as usize];
-        let expected = state.queue.estimate(now);
-        state.queue.charge(team, expected, share);
+        let estimate = state.queue.estimate(now);
+        state.queue.charge(team, estimate, share);
         *state.running.entry(team).or_default() += 1;
         Some(Assignment {
             upstream,
@@ -425,7 +425,7 @@
     /// Returns the expected wait if it would make the request miss its deadline.
     ///
     /// The team is expected to run its share of the service's slots among the teams
-    /// with waiting requests. Without slots or an estimate nothing can be said.
+    /// with waiting requests. Without slots or an estimate the wait is unknown.
     fn unmeetable_wait(&self, now: Moment, request: &Request) -> Option<Duration> {
         let service = &self.services[request.service.0 as usize];
         let estimate = service.queue.estimate(now);
--- a/src/core/gate/queue.rs
+++ b/src/core/gate/queue.rs
@@ -84,12 +84,12 @@
     }
 
     /// Adds one measured service time to the estimate, a moving average of weight 1/8.
-    pub fn sample(&mut self, now: Moment, took: Duration) {
+    pub fn sample(&mut self, now: Moment, service_time: Duration) {
         let old = self.estimate(now);
         self.estimate = if old == NO_ESTIMATE {
-            took
+            service_time
         } else {
-            (old * 7 + took) / 8
+            (old * 7 + service_time) / 8
         };
         self.sampled_at = now;
     }
@@ -148,12 +148,12 @@
         Some((rank.ticket, *request))
     }
 
-    /// Advances the virtual time of `team` by `took` of slot time divided by its share.
-    pub fn charge(&mut self, team: TeamKey, took: Duration, share: u32) {
+    /// Advances the virtual time of `team` by `slot_time` divided by its share.
+    pub fn charge(&mut self, team: TeamKey, slot_time: Duration, share: u32) {
         let Some(queue) = self.teams.get_mut(&team) else {
             return;
         };
-        let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+        let micros = u64::try_from(slot_time.as_micros()).unwrap_or(u64::MAX);
         let cost = micros.max(1).saturating_mul(VIRTUAL_TIME_SCALE) / u64::from(share.max(1));
         let was_active = self.active.remove(&(queue.virtual_time, team));
         queue.virtual_time = queue.virtual_time.saturating_add(cost.max(1));
--- a/src/core/gate/types.rs
+++ b/src/core/gate/types.rs
@@ -42,7 +42,7 @@
 /// Attributes of a request that its admission depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Team that the request counts for, by the key sent with it.
+    /// Team of the API key sent with the request.
     pub team: TeamKey,
     /// Requested service.
     pub service: ServiceKey,
@@ -57,15 +57,15 @@
 pub struct Assignment {
     /// Upstream that the request is sent to.
     pub upstream: UpstreamKey,
-    /// Team that the request counts for.
+    /// Team of the request.
     pub team: TeamKey,
     /// Service of the request.
     pub service: ServiceKey,
-    /// Time at which the slot was taken.
+    /// Time at which the slot was acquired.
     pub at: Moment,
 }
 
-/// Reason for which a request was refused, with advice on a retry.
+/// Reason for refusing a request, and when to retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Error kind returned to the caller.
@@ -79,7 +79,7 @@
 pub struct Demand {
     /// Requested service.
     pub service: ServiceKey,
-    /// Team that the requests count for.
+    /// Team of the requests.
     pub team: TeamKey,
     /// Requests waiting.
     pub waiting: u64,
@@ -87,7 +87,7 @@
     pub running: u64,
 }
 
-/// Answer to a submitted request.
+/// Decision on a submitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request starts now.
@@ -103,7 +103,7 @@
     Refuse(Refusal),
 }
 
-/// How an exchange with an upstream ended.
+/// Outcome of an exchange with an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// A complete answer was received.
--- a/src/core/gate/upstream.rs
+++ b/src/core/gate/upstream.rs
@@ -10,9 +10,9 @@
 use crate::core::time::Moment;
 
 /// Suspension of an upstream after one failed exchange; doubles with each further one.
-const SUSPEND_BASE: Duration = Duration::from_millis(250);
+const SUSPENSION_MIN: Duration = Duration::from_millis(250);
 /// Longest suspension after repeated failures.
-const SUSPEND_CAP: Duration = Duration::from_secs(10);
+const SUSPENSION_MAX: Duration = Duration::from_secs(10);
 /// Fixed-point factor of the ratio of slots in use to slots allotted.
 const LOAD_SCALE: u64 = 1_024;
 
@@ -102,11 +102,11 @@
 
     /// Records a failed exchange and suspends the upstream, with exponential backoff.
     pub fn record_failure(&mut self, now: Moment) {
-        let pause = SUSPEND_BASE
+        let suspension = SUSPENSION_MIN
             .saturating_mul(1 << self.failures.min(8))
-            .min(SUSPEND_CAP);
+            .min(SUSPENSION_MAX);
         self.failures = self.failures.saturating_add(1);
-        self.suspended_until = now + pause;
+        self.suspended_until = now + suspension;
     }
 
     /// Records a successful exchange, which ends a suspension.
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -15,7 +15,7 @@
 /// Duration of a lease or promise, measured on the holder's clock.
 pub const LEASE_DURATION: Duration = Duration::from_millis(1_200);
 /// Interval at which a leader renews its lease and the promises of its roster.
-pub const RENEW_EVERY: Duration = Duration::from_millis(300);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 /// Time without authority after which members that reach the root group stop
 /// making promises to a leader, so that one of them can become a candidate.
 const AUTHORITY_GAP_MAX: Duration = Duration::from_secs(3);
@@ -53,7 +53,7 @@
 pub struct Participant {
     member: Member,
     leadership: Option<Leadership>,
-    started: Moment,
+    started_at: Moment,
     root_lease_until: Moment,
     promises: BTreeMap<InstanceId, Moment>,
     joining: BTreeSet<InstanceId>,
@@ -73,7 +73,7 @@
         Self {
             member,
             leadership: None,
-            started: now,
+            started_at: now,
             root_lease_until: Moment::ZERO,
             promises: BTreeMap::new(),
             joining: BTreeSet::new(),
@@ -176,7 +176,7 @@
         if now < self.next_action_at || self.resigned {
             return Vec::new();
         }
-        self.next_action_at = now + RENEW_EVERY;
+        self.next_action_at = now + RENEWAL_INTERVAL;
         if self.is_appointed() {
             return self.renew(now, peers);
         }
@@ -193,24 +193,24 @@
         self.joining
             .extend(peers.iter().filter(|id| !known.contains(id)));
         let is_silent = |id: &InstanceId| {
-            let last_heard = self.last_heard.get(id).copied().unwrap_or(self.started);
+            let last_heard = self.last_heard.get(id).copied().unwrap_or(self.started_at);
             *id != self.member.id
                 && !peers.contains(id)
                 && now.since(last_heard) > ROSTER_SILENCE_MAX
         };
-        let wanted: Vec<InstanceId> = known
+        let roster: Vec<InstanceId> = known
             .iter()
             .chain(&self.joining)
             .copied()
             .filter(|id| !is_silent(id))
             .collect();
-        let changed = wanted.iter().copied().collect::<BTreeSet<_>>() != known;
+        let changed = roster.iter().copied().collect::<BTreeSet<_>>() != known;
         let has_authority = now < self.authority_until();
         let term = leadership.term;
         let mut actions = vec![Action::Renew {
             term,
             roster: if changed || self.roster_disputed {
-                wanted
+                roster
             } else {
                 Vec::new()
             },
@@ -231,7 +231,7 @@
     fn maybe_campaign(&mut self, now: Moment, root_heard: bool) -> Vec<Action> {
         let term = self.term();
         // Promises made before a restart must have expired.
-        if now < self.started + with_clock_margin(LEASE_DURATION) {
+        if now < self.started_at + with_clock_margin(LEASE_DURATION) {
             return Vec::new();
         }
         if let Some(leadership) = &self.leadership {
@@ -311,7 +311,7 @@
 /// Leases granted by the root leader and appointments that it has proposed.
 #[derive(Debug, Default)]
 pub struct Grants {
-    until: BTreeMap<String, Moment>,
+    lease_until: BTreeMap<String, Moment>,
     appointing: BTreeSet<String>,
 }
 
@@ -330,7 +330,7 @@
         if !holds || self.appointing.contains(zone) {
             return false;
         }
-        self.until
+        self.lease_until
             .insert(zone.to_owned(), now + with_clock_margin(LEASE_DURATION));
         true
     }
@@ -347,9 +347,9 @@
         candidate: &Member,
         term: u64,
     ) -> bool {
-        let until = self.until.get(zone).copied().unwrap_or_default();
+        let lease_until = self.lease_until.get(zone).copied().unwrap_or_default();
         if now < since + with_clock_margin(LEASE_DURATION)
-            || now < until
+            || now < lease_until
             || self.appointing.contains(zone)
         {
             return false;
@@ -375,7 +375,7 @@
 
     /// Clears all state when the root leadership begins or ends.
     pub fn clear(&mut self) {
-        self.until.clear();
+        self.lease_until.clear();
         self.appointing.clear();
     }
 }
--- a/src/core/registry.rs
+++ b/src/core/registry.rs
@@ -234,9 +234,9 @@
 }
 
 impl Registry {
-    /// Applies the command at log index `at`.
-    pub fn apply(&mut self, at: u64, command: &Command) -> Outcome {
-        self.applied = at;
+    /// Applies the command at log `index`.
+    pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
+        self.applied = index;
         match command {
             Command::Noop => Outcome::Done,
             Command::Push {
@@ -246,7 +246,7 @@
                 operator,
             } => self.push(*replaces, *digest, change, operator),
             Command::GiveKey { id, key } => self.give_key(id, key),
-            Command::WithdrawKey { id } => self.withdraw_key(at, id),
+            Command::WithdrawKey { id } => self.withdraw_key(index, id),
             Command::Lead {
                 zone,
                 seen_term,
@@ -265,8 +265,8 @@
 
     /// Returns the index of a known zone.
     pub fn zone_index(&self, zone: &str) -> Option<ZoneIndex> {
-        let at = self.zone_names.iter().position(|name| name == zone)?;
-        Some(ZoneIndex(u16::try_from(at).ok()?))
+        let index = self.zone_names.iter().position(|name| name == zone)?;
+        Some(ZoneIndex(u16::try_from(index).ok()?))
     }
 
     fn push(
@@ -355,14 +355,14 @@
         Outcome::Done
     }
 
-    fn withdraw_key(&mut self, at: u64, id: &str) -> Outcome {
+    fn withdraw_key(&mut self, index: u64, id: &str) -> Outcome {
         let Some(key) = self.keys.get_mut(id) else {
             let message = format!("no key {id}");
             return Outcome::Refused(Error::new(Kind::NotFound, message));
         };
         if !key.withdrawn {
             key.withdrawn = true;
-            key.withdrawn_at = at;
+            key.withdrawn_at = index;
             self.key_changes += 1;
         }
         Outcome::Withdrawn {
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -7,11 +7,11 @@
 /// Retries earned by each success, in thousandths of a retry.
 const RETRY_MILLI_PER_SUCCESS: u64 = 100;
 /// Maximum of the retry budget, in thousandths of a retry.
-const BUDGET_CAP_MILLI: u64 = 10_000;
+const BUDGET_MAX_MILLI: u64 = 10_000;
 /// Upper limit of the delay before the first retry, doubled for each further one.
 const BACKOFF_BASE: Duration = Duration::from_millis(5);
 /// Upper limit of the delay before any retry.
-const BACKOFF_CAP: Duration = Duration::from_millis(250);
+const BACKOFF_MAX: Duration = Duration::from_millis(250);
 
 /// Retry budget: a token bucket that is refilled by successes.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            milli: BUDGET_CAP_MILLI,
+            milli: BUDGET_MAX_MILLI,
         }
     }
 }
@@ -30,7 +30,7 @@
 impl Budget {
     /// Records a success, which adds a tenth of a retry to the budget.
     pub fn record_success(&mut self) {
-        self.milli = (self.milli + RETRY_MILLI_PER_SUCCESS).min(BUDGET_CAP_MILLI);
+        self.milli = (self.milli + RETRY_MILLI_PER_SUCCESS).min(BUDGET_MAX_MILLI);
     }
 
     /// Takes one retry from the budget. Returns false if none is left.
@@ -50,6 +50,6 @@
 pub fn backoff(attempt: u32, rng: &mut impl Rng) -> Duration {
     let top = BACKOFF_BASE
         .saturating_mul(1 << attempt.min(10))
-        .min(BACKOFF_CAP);
+        .min(BACKOFF_MAX);
     top.mul_f64(rng.random::<f64>())
 }
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -33,13 +33,13 @@
 /// Returns the next set of voters, or `None` if the current set should stay. The sets
 /// differ by one replica: a spare is added before the voter it replaces is removed.
 ///
-/// `places` lists the connected instances by replica. If an instance has returned
+/// `locations` lists the connected instances by replica. If an instance has returned
 /// under the name of a voter with a different replica, the voter has lost its disk.
 pub fn next_voters(
     now: Moment,
     replica: &Replica,
-    places: &BTreeMap<u64, Location>,
-    wanted: Constraints,
+    locations: &BTreeMap<u64, Location>,
+    constraints: Constraints,
 ) -> Option<Vec<Voter>> {
     let voters = replica.voters();
     let is_voter = |id: u64| voters.iter().any(|v| v.replica == id);
@@ -49,25 +49,25 @@
         found.map(|(_, p)| now.since(p.heard_at))
     };
     let has_lost_disk = |voter: &Voter| {
-        places
-            .iter()
-            .any(|(&id, place)| id != voter.replica && place.name == voter.name && !is_voter(id))
+        locations.iter().any(|(&id, location)| {
+            id != voter.replica && location.name == voter.name && !is_voter(id)
+        })
     };
     let is_lost = |voter: &&Voter| {
         voter.replica != replica.id()
-            && (has_lost_disk(voter) && !places.contains_key(&voter.replica)
-                || silent_for(voter.replica).is_none_or(|s| s > wanted.replace_after))
+            && (has_lost_disk(voter) && !locations.contains_key(&voter.replica)
+                || silent_for(voter.replica).is_none_or(|s| s > constraints.replace_after))
     };
     let lost = voters.iter().find(is_lost);
-    if voters.len() > wanted.voters {
+    if voters.len() > constraints.voters {
         let leaving = lost?.clone();
         return Some(voters.iter().filter(|v| **v != leaving).cloned().collect());
     }
-    if lost.is_none() && voters.len() >= wanted.voters {
+    if lost.is_none() && voters.len() >= constraints.voters {
         return None;
     }
     let in_zone = |zone: &str| {
-        let zone_of = |v: &&Voter| places.get(&v.replica).is_some_and(|p| p.zone == zone);
+        let zone_of = |v: &&Voter| locations.get(&v.replica).is_some_and(|p| p.zone == zone);
         let staying = voters.iter().filter(|v| Some(*v) != lost);
         staying.filter(zone_of).count()
     };
@@ -82,13 +82,13 @@
                 && p.match_index > 0
                 && lag <= CAUGHT_UP_LAG_ENTRIES
         })
-        .filter_map(|(id, _)| Some((id, places.get(&id)?)))
-        .min_by_key(|(id, place)| (in_zone(&place.zone), *id));
-    let (id, place) = spare?;
+        .filter_map(|(id, _)| Some((id, locations.get(&id)?)))
+        .min_by_key(|(id, location)| (in_zone(&location.zone), *id));
+    let (id, location) = spare?;
     let mut next = voters.to_vec();
     next.push(Voter {
         replica: id,
-        name: place.name.clone(),
+        name: location.name.clone(),
     });
     Some(next)
 }
--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn never_more_held_than_capacity() {
+fn holders_never_exceed_the_capacity() {
     for seed in 0..2_000 {
         run_schedule(seed, 1 + seed % 9).unwrap();
     }
@@ -98,7 +98,7 @@
     let given = divide(capacity, &claimants);
     let demand: f64 = claimants.iter().map(|c| c.demand).sum();
     let sum: f64 = given.iter().sum();
-    let within = given
+    let within_demand = given
         .iter()
         .zip(&claimants)
         .all(|(g, c)| *g <= c.demand + 1e-6);
@@ -112,7 +112,7 @@
                 .zip(&claimants)
                 .all(|(h, d)| h / d.weight <= level + 1e-6)
     });
-    within && fair && (sum - demand.min(capacity)).abs() < 1e-3
+    within_demand && fair && (sum - demand.min(capacity)).abs() < 1e-3
 }
 
 #[test]
@@ -124,14 +124,23 @@
 }
 
 #[test]
-fn whole_targets_use_the_capacity() {
-    let claim = |demand, standing| UnitClaimant {
+fn unit_targets_use_the_whole_capacity() {
+    let claimant = |demand, takes_surplus| UnitClaimant {
         weight: 1,
         demand,
-        takes_surplus: standing,
+        takes_surplus,
     };
-    assert_eq!(targets(10, &[claim(0, true), claim(0, true)]), [5, 5]);
-    assert_eq!(targets(10, &[claim(9, true), claim(0, true)]), [10, 0]);
-    assert_eq!(targets(10, &[claim(20, true), claim(20, true)]), [5, 5]);
-    assert_eq!(targets(10, &[claim(2, false), claim(0, true)]), [2, 8]);
+    assert_eq!(targets(10, &[claimant(0, true), claimant(0, true)]), [5, 5]);
+    assert_eq!(
+        targets(10, &[claimant(9, true), claimant(0, true)]),
+        [10, 0]
+    );
+    assert_eq!(
+        targets(10, &[claimant(20, true), claimant(20, true)]),
+        [5, 5]
+    );
+    assert_eq!(
+        targets(10, &[claimant(2, false), claimant(0, true)]),
+        [2, 8]
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -48,13 +48,13 @@
 }
 
 impl SimWorker {
-    fn new(at: usize) -> Self {
+    fn new(index: usize) -> Self {
         Self {
-            name: format!("w{at}"),
+            name: format!("w{index}"),
             size: Size {
                 cpu_milli: 8_000,
                 memory_mb: 16_000,
-                accelerators: u64::from(at.is_multiple_of(4)),
+                accelerators: u64::from(index.is_multiple_of(4)),
             },
             incarnation: 1,
             number: 0,
@@ -102,11 +102,11 @@
             if stop.how == Action::Throttle {
                 continue;
             }
-            let runs = self
+            let is_running = self
                 .running
                 .get(&stop.task)
                 .is_some_and(|run| run.attempt == stop.attempt);
-            if runs {
+            if is_running {
                 self.end(stop.task, false, true);
             } else if !self.has_ended(stop.task, stop.attempt) {
                 self.ended.push(EndReport {
@@ -118,18 +118,18 @@
             }
         }
         for start in orders.start {
-            let known = self.running.contains_key(&start.task);
-            if known || self.has_ended(start.task, start.attempt) || now >= self.lease_until {
+            let is_running = self.running.contains_key(&start.task);
+            if is_running || self.has_ended(start.task, start.attempt) || now >= self.lease_until {
                 continue;
             }
-            let length = if start.run_ms == 0 {
+            let duration = if start.run_ms == 0 {
                 Duration::from_secs(1_000_000)
             } else {
                 Duration::from_millis(start.run_ms)
             };
             let run = Run {
                 attempt: start.attempt,
-                until: now + length,
+                until: now + duration,
                 used: sim.actual_size(start.task),
                 size: start.size,
             };
@@ -159,15 +159,15 @@
     }
 
     fn advance(&mut self, now: Moment) {
-        let over = now >= self.lease_until;
+        let lease_expired = now >= self.lease_until;
         let due: Vec<Task> = self
             .running
             .iter()
-            .filter(|(_, run)| over || run.until <= now)
+            .filter(|(_, run)| lease_expired || run.until <= now)
             .map(|(&task, _)| task)
             .collect();
         for task in due {
-            self.end(task, !over, over);
+            self.end(task, !lease_expired, lease_expired);
         }
     }
 
@@ -339,26 +339,26 @@
 
     fn check(&self) {
         let seed = self.seed;
-        let mut places: BTreeMap<Task, u32> = BTreeMap::new();
+        let mut worker_counts: BTreeMap<Task, u32> = BTreeMap::new();
         for worker in &self.workers {
             for task in worker.running.keys() {
-                *places.entry(*task).or_default() += 1;
+                *worker_counts.entry(*task).or_default() += 1;
             }
         }
-        for (task, count) in places {
+        for (task, count) in worker_counts {
             assert!(
                 count <= 1,
                 "seed {seed}: task {task} runs on {count} workers"
             );
         }
         for worker in self.fleet.workers() {
-            let stat = worker.status();
+            let status = worker.status();
             assert!(
-                stat.total.fits(stat.reserved),
+                status.total.fits(status.reserved),
                 "seed {seed}: worker {} has reserved {:?} of {:?}",
-                stat.name,
-                stat.reserved,
-                stat.total
+                status.name,
+                status.reserved,
+                status.total
             );
         }
         if self.misdeclared {
@@ -396,13 +396,13 @@
 
     fn inject_fault(&mut self) {
         let count = self.workers.len();
-        let at = self.rng.random_range(0..count);
+        let index = self.rng.random_range(0..count);
         match self.rng.random_range(0..60) {
             0 => {
-                let length = Duration::from_millis(self.rng.random_range(500..20_000));
-                self.workers[at].silent_until = self.now + length;
+                let duration = Duration::from_millis(self.rng.random_range(500..20_000));
+                self.workers[index].silent_until = self.now + duration;
             }
-            1 => self.workers[at].restart(),
+            1 => self.workers[index].restart(),
             2 => self.change_leader(),
             3 => {
                 // Cancels about a third of the open jobs.
@@ -633,15 +633,15 @@
 fn misdeclared_sizes_are_corrected_and_overloaded_workers_relieved() {
     let mut sim = Simulation::new(5, 6);
     sim.misdeclared = true;
-    for at in 0..40 {
-        let name = format!("n{}", at % 5);
-        let mut one = spec(&name, Class::Batch, 4);
-        one.size.memory_mb = 300;
-        one.size.cpu_milli = 300;
-        one.run_ms = 3_000;
-        sim.submit(TEAMS[at % 3], one);
-    }
-    let mut over = 0;
+    for index in 0..40 {
+        let name = format!("n{}", index % 5);
+        let mut small = spec(&name, Class::Batch, 4);
+        small.size.memory_mb = 300;
+        small.size.cpu_milli = 300;
+        small.run_ms = 3_000;
+        sim.submit(TEAMS[index % 3], small);
+    }
+    let mut overloaded = 0;
     for _ in 0..1_500 {
         sim.step(false);
         for worker in &sim.workers {
@@ -649,10 +649,13 @@
                 .running
                 .values()
                 .fold(Size::default(), |sum, run| sum.plus(run.used));
-            over += u32::from(used.memory_mb > worker.size.memory_mb);
+            overloaded += u32::from(used.memory_mb > worker.size.memory_mb);
         }
     }
-    assert!(over < 60, "workers exceeded their memory in {over} samples");
+    assert!(
+        overloaded < 60,
+        "workers exceeded their memory in {overloaded} samples"
+    );
     assert!(
         sim.table.open().next().is_none(),
         "{:?}",
@@ -669,12 +672,12 @@
     for _ in 0..20 {
         sim.step(false);
     }
-    let at = sim
+    let index = sim
         .workers
         .iter()
         .position(|w| !w.running.is_empty())
         .expect("runs");
-    sim.workers[at].silent_until = sim.now + WORKER_LEASE * 2;
+    sim.workers[index].silent_until = sim.now + WORKER_LEASE * 2;
     for _ in 0..150 {
         sim.step(false);
     }
@@ -690,10 +693,10 @@
 fn mass_cancellation_stops_all_tasks() {
     let mut sim = Simulation::new(7, 6);
     let ids: Vec<Id> = (0..1_000)
-        .map(|at| {
-            let mut ten = spec("wave", Class::Batch, 10);
-            ten.run_ms = 100_000;
-            sim.submit(TEAMS[at % 3], ten)
+        .map(|index| {
+            let mut job = spec("wave", Class::Batch, 10);
+            job.run_ms = 100_000;
+            sim.submit(TEAMS[index % 3], job)
         })
         .collect();
     for _ in 0..10 {
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -38,8 +38,8 @@
         let service = gate.put_service("s", 100_000);
         let teams = (0..)
             .zip(shares)
-            .map(|(at, &share)| {
-                let name = format!("t{at}");
+            .map(|(index, &share)| {
+                let name = format!("t{index}");
                 let key = gate.put_team(&name, share);
                 let balance = Balance {
                     resource: resource_id(&name).0,
@@ -50,19 +50,19 @@
                 key
             })
             .collect();
-        for at in 0..upstreams {
+        for index in 0..upstreams {
             let announcement = Announcement {
-                name: format!("u{at}"),
+                name: format!("u{index}"),
                 incarnation: 1,
                 service: "s".to_owned(),
                 zone: "z".to_owned(),
-                address: ([127, 0, 0, 1], 1 + at).into(),
+                address: ([127, 0, 0, 1], 1 + index).into(),
                 slots,
                 connections: 64,
             };
-            let cell = resource_of(&announcement);
+            let resource = resource_of(&announcement);
             gate.put_upstream(announcement, source, false);
-            gate.receive_slots(cell, u64::from(slots));
+            gate.receive_slots(resource, u64::from(slots));
         }
         Self {
             gate,
@@ -81,9 +81,9 @@
         self.gate.submit(now, request)
     }
 
-    /// Keeps `depth` requests of each team waiting for `steps` of 1 ms, with a service
-    /// time of `service`, and returns the completed requests by team.
-    fn run_saturated(&mut self, depth: &[usize], service: Duration, steps: u32) -> Vec<u64> {
+    /// Keeps `depth` requests of each team waiting for `steps` of 1 ms. A request takes
+    /// `service_time`. Returns the numbers of completed requests by team.
+    fn run_saturated(&mut self, depth: &[usize], service_time: Duration, steps: u32) -> Vec<u64> {
         let mut running: Vec<(Moment, Assignment, usize)> = Vec::new();
         let mut waiting: BTreeMap<Ticket, usize> = BTreeMap::new();
         let mut counts = vec![0usize; depth.len()];
@@ -106,7 +106,7 @@
                 while to_send > 0 && counts[team] < depth[team] {
                     to_send -= 1;
                     match self.submit(now, team, 1, Duration::from_secs(3_600)) {
-                        Admission::Start(a) => running.push((now + service, a, team)),
+                        Admission::Start(a) => running.push((now + service_time, a, team)),
                         Admission::Wait { ticket, .. } => {
                             waiting.insert(ticket, team);
                             counts[team] += 1;
@@ -118,7 +118,7 @@
             for (ticket, assignment) in self.gate.dispatch(now) {
                 let team = waiting.remove(&ticket).expect("waits");
                 counts[team] -= 1;
-                running.push((now + service, assignment, team));
+                running.push((now + service_time, assignment, team));
             }
         }
         completed
@@ -184,7 +184,7 @@
     fn worth_under_twofold_overload_stays_near_the_upper_bound() {
         let mut harness = Harness::new(&[1], 1, 8);
         let mut rng = ChaCha8Rng::seed_from_u64(5);
-        let service = MS * 40;
+        let service_time = MS * 40;
         let mut running: Vec<(Moment, Moment, Assignment, u64)> = Vec::new();
         let mut waiting: BTreeMap<Ticket, (Moment, u64)> = BTreeMap::new();
         let mut offered = Vec::new();
@@ -207,20 +207,20 @@
                 offered.push(worth);
                 let request = Request { team: harness.teams[0], service: harness.service, worth, deadline };
                 match harness.gate.submit(now, request) {
-                    Admission::Start(a) => running.push((now + service, deadline, a, worth)),
+                    Admission::Start(a) => running.push((now + service_time, deadline, a, worth)),
                     Admission::Wait { ticket, .. } => { waiting.insert(ticket, (deadline, worth)); }
                     Admission::Refuse(_) => {}
                 }
             }
             for (ticket, assignment) in harness.gate.dispatch(now) {
                 let (deadline, worth) = waiting.remove(&ticket).expect("waits");
-                running.push((now + service, deadline, assignment, worth));
+                running.push((now + service_time, deadline, assignment, worth));
             }
         }
         // Upper bound: the half of all requests with the highest worth.
         offered.sort_unstable_by(|a, b| b.cmp(a));
-        let best: u64 = offered.iter().take(200 * 20).sum();
-        assert!(gained * 100 >= best * 90, "{gained} of {best}");
+        let upper_bound: u64 = offered.iter().take(200 * 20).sum();
+        assert!(gained * 100 >= upper_bound * 90, "{gained} of {upper_bound}");
     }
 
     fn request_that_cannot_meet_its_deadline_is_refused() {
@@ -266,10 +266,10 @@
     fn backoff_grows_to_its_cap_with_jitter() {
         let mut rng = ChaCha8Rng::seed_from_u64(9);
         for attempt in 0..40 {
-            let top = (MS * 5).saturating_mul(1 << attempt.min(10)).min(MS * 250);
-            let pauses: Vec<Duration> = (0..50).map(|_| backoff(attempt, &mut rng)).collect();
-            assert!(pauses.iter().all(|pause| *pause <= top), "{attempt}");
-            assert!(pauses.iter().any(|pause| *pause > top / 2), "{attempt}");
+            let limit = (MS * 5).saturating_mul(1 << attempt.min(10)).min(MS * 250);
+            let delays: Vec<Duration> = (0..50).map(|_| backoff(attempt, &mut rng)).collect();
+            assert!(delays.iter().all(|delay| *delay <= limit), "{attempt}");
+            assert!(delays.iter().any(|delay| *delay > limit / 2), "{attempt}");
         }
     }
 
@@ -311,11 +311,11 @@
         assert_eq!(claim(&mut table, 7), Verdict::Repeat(answer("a")));
     }
 
-    fn table_without_history_refuses_ids_that_may_have_run() {
+    fn incomplete_table_refuses_ids_that_may_have_run() {
         let mut table = Table::default();
         table.mark_incomplete(START);
-        let mut claim = |now, request, minted| {
-            table.claim(now, Id::of("t", request), 1, OWNER, minted, RETENTION)
+        let mut claim = |now, request, generated_age| {
+            table.claim(now, Id::of("t", request), 1, OWNER, generated_age, RETENTION)
         };
         let later = START + Duration::from_secs(10);
         assert_eq!(claim(later, "chosen", None), Verdict::Refused(Kind::ClaimUnknown));
@@ -326,7 +326,7 @@
         assert_eq!(claim(START + RETENTION, "chosen", None), Verdict::Granted);
     }
 
-    fn minted_id_older_than_the_retention_never_runs() {
+    fn generated_id_older_than_the_retention_never_runs() {
         let mut table = Table::default();
         let verdict = table.claim(START, Id::of("t", "1"), 1, OWNER, Some(RETENTION), RETENTION);
         assert_eq!(verdict, Verdict::Refused(Kind::ClaimUnknown));
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -130,10 +130,10 @@
         "the follower has caught up"
     );
     // 350 entries were lost and 750 are new. The same amount again is allowed for probing.
-    let due = (350 + 750) * ENTRY_BYTES;
+    let needed_bytes = (350 + 750) * ENTRY_BYTES;
     assert!(
-        group.entry_bytes_to_third <= 2 * due,
-        "{} bytes of entries were sent, but {due} were lost or new",
+        group.entry_bytes_to_third <= 2 * needed_bytes,
+        "{} bytes of entries were sent, but {needed_bytes} were lost or new",
         group.entry_bytes_to_third
     );
 }
@@ -212,10 +212,10 @@
 // Two voters that become candidates at once split the votes. Waiting for a whole election
 // timeout before the next candidacy would leave the group without a leader for too long.
 #[test]
-fn a_split_vote_costs_little() {
+fn a_split_vote_delays_the_next_leader_briefly() {
     // One election timeout, half of one until the next candidacy, and two rounds of votes
     // of up to 50 ms each.
-    const LONGEST_MS: u64 = ELECTION_TIMEOUT_MAX.as_millis() as u64 + 600;
+    const LEADERLESS_MAX_MS: u64 = ELECTION_TIMEOUT_MAX.as_millis() as u64 + 600;
     for seed in 0..300 {
         let mut group = Group::seeded(seed);
         group.run(100, 2);
@@ -226,13 +226,13 @@
                 .iter()
                 .any(|r| r.holds_lease(Moment(group.now)))
         };
-        let took = (0..10_000).find(|_| {
+        let elapsed_ms = (0..10_000).find(|_| {
             group.step();
             has_leader(&group)
         });
         assert!(
-            took.is_some_and(|took| took <= LONGEST_MS),
-            "seed {seed}: the next leader came after {took:?} ms: {:?}",
+            elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms <= LEADERLESS_MAX_MS),
+            "seed {seed}: the next leader came after {elapsed_ms:?} ms: {:?}",
             group.election_events
         );
     }
@@ -247,14 +247,14 @@
     group.run(3_000, 2);
     group.isolated = None;
     group.run(50, 2);
-    let stood = |b: &ElectionEvent| matches!(b, ElectionEvent::Stood { pre: true, .. });
+    let stood = |event: &ElectionEvent| matches!(event, ElectionEvent::Stood { pre: true, .. });
     assert!(
         group.election_events[2].iter().any(stood),
         "the isolated replica reports its pre-vote"
     );
-    let refused = |b: &ElectionEvent| {
+    let refused = |event: &ElectionEvent| {
         matches!(
-            b,
+            event,
             ElectionEvent::Asked {
                 candidate: 3,
                 refused: Some(VoteRefusal::HearsLeader),
