--- a/src/core/control/claims.rs
+++ b/src/core/control/claims.rs
@@ -302,9 +302,7 @@
         let unsynced: Vec<InstanceId> = self
             .peers
             .values()
-            .filter(|state| {
-                state.peer.zone == zone && !self.replication.synced.contains(&state.peer.id)
-            })
+            .filter(|s| s.peer.zone == zone && !self.replication.synced.contains(&s.peer.id))
             .map(|state| state.peer.id)
             .collect();
         if unsynced.is_empty() {
--- a/src/core/control/mod.rs
+++ b/src/core/control/mod.rs
@@ -34,7 +34,7 @@
 
 /// Interval at which pings carry the addresses of all known peers.
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval of pings on each link.
+/// Interval between pings on each link.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a peer counts as disconnected.
 pub const PEER_SILENCE_MAX: Duration = Duration::from_millis(2_500);
@@ -44,10 +44,10 @@
 const WITHDRAWAL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time after which a call to another instance fails if it was not answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// Size of the log from which on a snapshot is made.
-const COMPACT_BYTES: usize = 2 << 20;
-/// Number of log entries from which on a snapshot is made.
-const COMPACT_ENTRIES: usize = 4_096;
+/// Size of the log at which it is compacted into a snapshot.
+const COMPACT_LOG_BYTES: usize = 2 << 20;
+/// Number of log entries at which the log is compacted into a snapshot.
+const COMPACT_LOG_ENTRIES: usize = 4_096;
 
 /// Properties of another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -333,7 +333,7 @@
         for raft in ready.messages {
             self.send_raft(now, raft);
         }
-        let before = self.registry.version;
+        let version_before = self.registry.version;
         if let Some(snapshot) = ready.snapshot
             && let Some(registry) = decode_registry(&snapshot.data)
         {
@@ -342,13 +342,13 @@
             self.effects.push(Effect::Event(Event::SnapshotLoaded {
                 index: snapshot.index,
             }));
-            self.apply_registry(now, before);
+            self.apply_registry(now, version_before);
         }
         if !ready.committed.is_empty() {
             for entry in ready.committed {
                 self.apply(now, entry.index, entry.term, &entry.command, &entry.voters);
             }
-            self.apply_registry(now, before);
+            self.apply_registry(now, version_before);
         }
         self.fresh.advance(self.registry.applied);
         std::mem::take(&mut self.effects)
@@ -358,7 +358,7 @@
     /// store.
     pub fn compact(&mut self) -> Option<crate::core::consensus::Snapshot> {
         let log = self.replica.log();
-        if log.bytes() < COMPACT_BYTES && log.len() < COMPACT_ENTRIES {
+        if log.bytes() < COMPACT_LOG_BYTES && log.len() < COMPACT_LOG_ENTRIES {
             return None;
         }
         let data = postcard::to_allocvec(&self.registry).expect("registry encodes");
@@ -412,11 +412,11 @@
         }];
         for name in names.iter().skip(1) {
             let peer = self.peers.values().find(|state| state.peer.name == *name);
-            let Some(known) = peer.filter(|state| !state.peer.founded && state.peer.durable) else {
+            let Some(state) = peer.filter(|state| !state.peer.founded && state.peer.durable) else {
                 return;
             };
             voters.push(Voter {
-                replica: known.peer.replica,
+                replica: state.peer.replica,
                 name: name.clone(),
             });
         }
@@ -459,11 +459,11 @@
         if let Ok(command) = &decoded {
             self.record_command(command, &outcome);
         }
-        if let Some((proposed, origin, appointed_zone)) = self.proposals.remove(&index) {
+        if let Some((proposal_term, origin, appointed_zone)) = self.proposals.remove(&index) {
             if let Some(zone) = appointed_zone {
                 self.lease_grants.end_appointment(&zone);
             }
-            let answer = if proposed == term {
+            let answer = if proposal_term == term {
                 Answer::Outcome(outcome)
             } else {
                 Answer::Failed(Error::new(Kind::NoQuorum, "the root leader changed"))
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -48,8 +48,8 @@
 ///
 /// Source: "full jitter" of Brooker, Exponential Backoff and Jitter.
 pub fn backoff(attempt: u32, rng: &mut impl Rng) -> Duration {
-    let top = BACKOFF_BASE
+    let limit = BACKOFF_BASE
         .saturating_mul(1 << attempt.min(10))
         .min(BACKOFF_MAX);
-    top.mul_f64(rng.random::<f64>())
+    limit.mul_f64(rng.random::<f64>())
 }
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -49,9 +49,9 @@
         found.map(|(_, p)| now.since(p.heard_at))
     };
     let has_lost_disk = |voter: &Voter| {
-        locations.iter().any(|(&id, location)| {
-            id != voter.replica && location.name == voter.name && !is_voter(id)
-        })
+        locations
+            .iter()
+            .any(|(&id, l)| id != voter.replica && l.name == voter.name && !is_voter(id))
     };
     let is_lost = |voter: &&Voter| {
         voter.replica != replica.id()
--- a/src/core/time.rs
+++ b/src/core/time.rs
@@ -46,6 +46,6 @@
 
 /// Extends a lease duration on the grantor's side, so that it outlasts the same
 /// duration measured on a slower clock of the holder.
-pub fn with_clock_margin(term: Duration) -> Duration {
-    term + term / CLOCK_RATE_DIVISOR
+pub fn with_clock_margin(lease: Duration) -> Duration {
+    lease + lease / CLOCK_RATE_DIVISOR
 }
--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -29,8 +29,8 @@
 
 impl Disk {
     fn store(&mut self, ready: &Ready) {
-        if let Some(hard) = ready.hard_state {
-            self.hard_state = hard;
+        if let Some(hard_state) = ready.hard_state {
+            self.hard_state = hard_state;
         }
         if let Some(snapshot) = &ready.snapshot {
             self.snapshot = snapshot.clone();
@@ -57,9 +57,12 @@
     disk: Disk,
     /// Positive if the clock runs fast.
     skew_per_mille: i64,
+    /// Reading of the clock at simulated time 0, in microseconds.
     offset: u64,
+    /// Simulated time, in microseconds, until which the process is paused.
     paused_until: u64,
     applied: u64,
+    /// Number of log entries at which the log is compacted.
     compact_at: u64,
 }
 
@@ -72,12 +75,16 @@
 
 struct Cluster {
     rng: ChaCha8Rng,
+    /// Simulated time, in microseconds.
     time: u64,
     hosts: Vec<Host>,
+    /// Messages in flight, by time of arrival and sequence number.
     network: BTreeMap<(u64, u64), Raft>,
     sent: u64,
     cut_links: BTreeSet<(u64, u64)>,
+    /// Percentage of messages that are lost.
     loss: u32,
+    /// Leader of each term.
     leaders: BTreeMap<u64, u64>,
     committed: BTreeMap<u64, Entry>,
     acknowledged: Vec<(u64, Bytes)>,
@@ -117,17 +124,17 @@
             acknowledged: Vec::new(),
             proposed: 0,
         };
-        for at in 0..cluster.hosts.len() {
-            cluster.start(at);
+        for index in 0..cluster.hosts.len() {
+            cluster.start(index);
         }
         // The first host founds the group at its first tick. The last one is not among
         // the founding voters.
         cluster
     }
 
-    fn start(&mut self, at: usize) {
+    fn start(&mut self, index: usize) {
         let seed = self.rng.random();
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[index];
         let now = host.clock(self.time);
         let stored = host.disk.stored();
         host.applied = stored.snapshot.index;
@@ -137,10 +144,10 @@
 
     /// Stores, sends and applies what a replica has ready, as the driver does. Sometimes
     /// the process crashes right before or after the data is stored.
-    fn process_ready(&mut self, at: usize) {
+    fn process_ready(&mut self, index: usize) {
         loop {
-            let now = self.hosts[at].clock(self.time);
-            let Some(replica) = &mut self.hosts[at].replica else {
+            let now = self.hosts[index].clock(self.time);
+            let Some(replica) = &mut self.hosts[index].replica else {
                 return;
             };
             replica.flush(now);
@@ -156,31 +163,31 @@
             }
             let crash = self.rng.random_ratio(1, 2_000);
             if crash && self.rng.random() {
-                self.hosts[at].replica = None;
+                self.hosts[index].replica = None;
                 return;
             }
-            self.hosts[at].disk.store(&ready);
+            self.hosts[index].disk.store(&ready);
             if crash {
-                self.hosts[at].replica = None;
+                self.hosts[index].replica = None;
                 return;
             }
-            let replica = self.hosts[at].replica.as_mut().expect("running");
+            let replica = self.hosts[index].replica.as_mut().expect("running");
             replica.mark_persisted(now);
             for message in ready.messages {
                 self.send(&message);
             }
             if let Some(snapshot) = ready.snapshot {
-                self.hosts[at].applied = snapshot.index;
+                self.hosts[index].applied = snapshot.index;
             }
             for entry in ready.committed {
-                self.apply(at, entry);
+                self.apply(index, entry);
             }
-            self.compact(at);
+            self.compact(index);
         }
     }
 
-    fn apply(&mut self, at: usize, entry: Entry) {
-        let host = &mut self.hosts[at];
+    fn apply(&mut self, index: usize, entry: Entry) {
+        let host = &mut self.hosts[index];
         assert_eq!(
             entry.index,
             host.applied + 1,
@@ -194,8 +201,8 @@
         }
     }
 
-    fn compact(&mut self, at: usize) {
-        let host = &mut self.hosts[at];
+    fn compact(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         let Some(replica) = &mut host.replica else {
             return;
         };
@@ -225,11 +232,11 @@
                     continue;
                 }
                 let slow = self.rng.random_ratio(1, 30);
-                let top = if slow { 1_500_000 } else { 20_000 };
-                let delay = self.rng.random_range(500..top);
+                let max_delay_us = if slow { 1_500_000 } else { 20_000 };
+                let delay_us = self.rng.random_range(500..max_delay_us);
                 self.sent += 1;
                 self.network.insert(
-                    (self.time + delay, self.sent),
+                    (self.time + delay_us, self.sent),
                     Raft {
                         to,
                         ..message.clone()
@@ -244,8 +251,8 @@
         while self.time < START_US + RUN_US {
             self.deliver_until(next_tick);
             next_tick += TICK_US;
-            for at in 0..self.hosts.len() {
-                self.tick(at);
+            for index in 0..self.hosts.len() {
+                self.tick(index);
             }
             self.inject_fault();
             self.check(seed);
@@ -253,50 +260,50 @@
     }
 
     fn deliver_until(&mut self, end: u64) {
-        while let Some((&(at, number), _)) = self.network.first_key_value() {
-            if at > end {
+        while let Some((&(arrival, number), _)) = self.network.first_key_value() {
+            if arrival > end {
                 break;
             }
-            let message = self.network.remove(&(at, number)).expect("first");
-            self.time = self.time.max(at);
+            let message = self.network.remove(&(arrival, number)).expect("first");
+            self.time = self.time.max(arrival);
             self.deliver(message);
         }
         self.time = end;
     }
 
     fn deliver(&mut self, message: Raft) {
-        let Some(at) = self.hosts.iter().position(|h| h.id == message.to) else {
+        let Some(index) = self.hosts.iter().position(|h| h.id == message.to) else {
             return;
         };
-        if self.hosts[at].paused_until > self.time {
+        if self.hosts[index].paused_until > self.time {
             // Messages to a paused process wait in its socket until it resumes.
             self.sent += 1;
-            let later = self.hosts[at].paused_until + self.sent % 1_000;
+            let later = self.hosts[index].paused_until + self.sent % 1_000;
             self.network.insert((later, self.sent), message);
             return;
         }
-        let now = self.hosts[at].clock(self.time);
-        if let Some(replica) = &mut self.hosts[at].replica {
+        let now = self.hosts[index].clock(self.time);
+        if let Some(replica) = &mut self.hosts[index].replica {
             replica.step(now, message);
-            self.process_ready(at);
+            self.process_ready(index);
         }
     }
 
-    fn tick(&mut self, at: usize) {
-        if self.hosts[at].paused_until > self.time {
+    fn tick(&mut self, index: usize) {
+        if self.hosts[index].paused_until > self.time {
             return;
         }
-        let now = self.hosts[at].clock(self.time);
+        let now = self.hosts[index].clock(self.time);
         let founders = (1..self.hosts.len() as u64).map(voter).collect();
-        let Some(replica) = &mut self.hosts[at].replica else {
+        let Some(replica) = &mut self.hosts[index].replica else {
             if self.rng.random_ratio(1, 60) {
-                self.start(at);
+                self.start(index);
             }
             return;
         };
         // A founder that crashed before its first entry was stored tries again, as the
         // driver does.
-        if at == 0 && replica.is_uninitialized() {
+        if index == 0 && replica.is_uninitialized() {
             replica.found(now, founders);
         }
         replica.tick(now);
@@ -306,20 +313,20 @@
             let index = replica.propose(command.clone()).expect("leads");
             self.acknowledged.push((index, command));
         }
-        self.process_ready(at);
+        self.process_ready(index);
     }
 
     fn inject_fault(&mut self) {
         let count = self.hosts.len();
         match self.rng.random_range(0..200) {
             0 => {
-                let at = self.rng.random_range(0..count);
-                self.hosts[at].replica = None;
+                let index = self.rng.random_range(0..count);
+                self.hosts[index].replica = None;
             }
             1 => {
-                let at = self.rng.random_range(0..count);
-                let length = self.rng.random_range(100_000..4_000_000);
-                self.hosts[at].paused_until = self.time + length;
+                let index = self.rng.random_range(0..count);
+                let pause_us = self.rng.random_range(100_000..4_000_000);
+                self.hosts[index].paused_until = self.time + pause_us;
             }
             2 => self.partition(),
             3..6 => self.cut_links.clear(),
@@ -331,13 +338,13 @@
 
     // Transfers leadership, as on a planned stop.
     fn resign(&mut self) {
-        for at in 0..self.hosts.len() {
-            let now = self.hosts[at].clock(self.time);
-            if let Some(replica) = &mut self.hosts[at].replica
+        for index in 0..self.hosts.len() {
+            let now = self.hosts[index].clock(self.time);
+            if let Some(replica) = &mut self.hosts[index].replica
                 && replica.is_leader()
             {
                 replica.resign(now);
-                self.process_ready(at);
+                self.process_ready(index);
                 return;
             }
         }
@@ -412,10 +419,10 @@
         self.cut_links.clear();
         self.loss = 0;
         let before = self.committed.len();
-        for at in 0..self.hosts.len() {
-            self.hosts[at].paused_until = 0;
-            if self.hosts[at].replica.is_none() {
-                self.start(at);
+        for index in 0..self.hosts.len() {
+            self.hosts[index].paused_until = 0;
+            if self.hosts[index].replica.is_none() {
+                self.start(index);
             }
         }
         let end = self.time + 20_000_000;
@@ -423,11 +430,11 @@
         while self.time < end {
             self.deliver_until(next_tick);
             next_tick += TICK_US;
-            for at in 0..self.hosts.len() {
-                if self.hosts[at].replica.is_none() {
-                    self.start(at);
+            for index in 0..self.hosts.len() {
+                if self.hosts[index].replica.is_none() {
+                    self.start(index);
                 }
-                self.tick(at);
+                self.tick(index);
             }
             self.check(seed);
             let caught_up = |h: &Host| h.applied + 3 >= self.committed.len() as u64;
--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -18,20 +18,20 @@
     // Messages in transit: holder, units given, units returned.
     let mut network: Vec<(usize, u64, u64)> = Vec::new();
     for step in 0..400 {
-        let at = rng.random_range(0..HOLDERS);
+        let holder = rng.random_range(0..HOLDERS);
         match rng.random_range(0..7) {
             0 => {
-                issuer.give(at, rng.random_range(0..capacity + 2));
+                issuer.give(holder, rng.random_range(0..capacity + 2));
             }
             1 => {
-                holders[at].give_back(rng.random_range(0..4));
+                holders[holder].give_back(rng.random_range(0..4));
             }
             2 => {
-                holders[at].acquire();
+                holders[holder].acquire();
             }
-            3 => holders[at].release(),
-            4 => network.push((at, issuer.account(at).given, 0)),
-            5 => network.push((at, 0, holders[at].account().returned)),
+            3 => holders[holder].release(),
+            4 => network.push((holder, issuer.account(holder).given, 0)),
+            5 => network.push((holder, 0, holders[holder].account().returned)),
             _ => deliver(&mut rng, &mut network, &mut issuer, &mut holders),
         }
         let held: u64 = holders.iter().map(|h| h.allowed()).sum();
@@ -56,14 +56,14 @@
     if network.is_empty() {
         return;
     }
-    let pick = rng.random_range(0..network.len());
-    let (at, given, returned) = network[pick];
+    let index = rng.random_range(0..network.len());
+    let (holder, given, returned) = network[index];
     // A quarter of the messages stay in transit and are delivered again.
     if !rng.random_ratio(1, 4) {
-        network.swap_remove(pick);
+        network.swap_remove(index);
     }
-    holders[at].receive(given);
-    issuer.settle(at, returned);
+    holders[holder].receive(given);
+    issuer.settle(holder, returned);
 }
 
 #[test]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -263,8 +263,8 @@
                 continue;
             }
             let poll = worker.poll();
-            let lost = lossy && self.rng.random_ratio(1, 20);
-            if lost {
+            let poll_lost = lossy && self.rng.random_ratio(1, 20);
+            if poll_lost {
                 continue;
             }
             if self.fleet.poll(now, &poll).is_err() {
@@ -312,18 +312,18 @@
             *self.granted_units.entry(team).or_default() += 1;
         }
         self.reclaim_units();
-        for (team, wanted) in self.fleet.missing_units() {
-            let granted_units = self.granted_units.entry(team.clone()).or_default();
-            let units = wanted.min(UNITS_PER_TEAM.saturating_sub(*granted_units));
-            *granted_units += units;
-            self.fleet.add_units(&team, units, wanted);
+        for (team, missing) in self.fleet.missing_units() {
+            let granted = self.granted_units.entry(team.clone()).or_default();
+            let units = missing.min(UNITS_PER_TEAM.saturating_sub(*granted));
+            *granted += units;
+            self.fleet.add_units(&team, units, missing);
         }
     }
 
     fn reclaim_units(&mut self) {
         for (team, units) in self.fleet.take_available_units() {
-            let granted_units = self.granted_units.entry(team).or_default();
-            *granted_units = granted_units
+            let granted = self.granted_units.entry(team).or_default();
+            *granted = granted
                 .checked_sub(units)
                 .expect("at most the granted units are returned");
         }
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -14,6 +14,7 @@
 const ENTRY_BYTES: usize = 1_000;
 
 struct Group {
+    /// Simulated time, in microseconds.
     now: u64,
     replicas: Vec<Replica>,
     /// Messages in flight, with their time of arrival.
@@ -79,13 +80,13 @@
             self.replicas[to].step(now, raft);
         }
         let is_tick = (self.now / 1_000).is_multiple_of(self.tick_interval_ms);
-        for (at, replica) in self.replicas.iter_mut().enumerate() {
+        for (index, replica) in self.replicas.iter_mut().enumerate() {
             if is_tick {
                 replica.tick(now);
             }
             replica.flush(now);
             let ready = replica.take_ready();
-            self.election_events[at].extend(&ready.election_events);
+            self.election_events[index].extend(&ready.election_events);
             replica.mark_persisted(now);
             for raft in ready.messages {
                 let is_lost = self.isolated == Some(raft.to) || self.isolated == Some(raft.from);
@@ -101,8 +102,8 @@
     }
 
     fn run(&mut self, duration_ms: u64, proposal_interval_ms: u64) {
-        for at in 0..duration_ms {
-            if at % proposal_interval_ms == 0 {
+        for elapsed_ms in 0..duration_ms {
+            if elapsed_ms % proposal_interval_ms == 0 {
                 let command = Bytes::from(vec![7; ENTRY_BYTES]);
                 self.replicas[0].propose(command).expect("leads");
             }
@@ -144,8 +145,8 @@
     group.run(200, 2);
     // The follower's replies are lost, as on a link that is cut in one direction.
     let mut sent = 0;
-    for at in 0..900_u64 {
-        if at % 2 == 0 {
+    for elapsed_ms in 0..900_u64 {
+        if elapsed_ms % 2 == 0 {
             let command = Bytes::from(vec![7; ENTRY_BYTES]);
             group.replicas[0].propose(command).expect("leads");
         }
