--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -310,8 +310,8 @@
         if replica.is_leader() && self.rng.random_ratio(1, 4) {
             self.proposed += 1;
             let command = Bytes::from(self.proposed.to_le_bytes().to_vec());
-            let index = replica.propose(command.clone()).expect("leads");
-            self.acknowledged.push((index, command));
+            let entry_index = replica.propose(command.clone()).expect("leads");
+            self.acknowledged.push((entry_index, command));
         }
         self.process_ready(index);
     }
