--- a/src/core/control/query.rs
+++ b/src/core/control/query.rs
@@ -326,11 +326,11 @@
                 .allocator
                 .iter()
                 .flat_map(|o| o.upstreams())
-                .map(|host| UpstreamStat {
-                    name: host.announcement().name.clone(),
-                    slots: host.issuer().capacity(),
-                    allotted: host.issuer().outstanding(),
-                    leaving: host.is_leaving(),
+                .map(|upstream| UpstreamStat {
+                    name: upstream.announcement().name.clone(),
+                    slots: upstream.issuer().capacity(),
+                    allotted: upstream.issuer().outstanding(),
+                    leaving: upstream.is_leaving(),
                 })
                 .collect(),
         }
