--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -14,6 +14,7 @@
 const ENTRY_BYTES: usize = 1_000;
 
 struct Group {
+    /// Simulated time, in microseconds.
     now: u64,
     replicas: Vec<Replica>,
     /// Messages in flight, with their time of arrival.
@@ -79,13 +80,13 @@
             self.replicas[to].step(now, raft);
         }
         let is_tick = (self.now / 1_000).is_multiple_of(self.tick_interval_ms);
-        for (at, replica) in self.replicas.iter_mut().enumerate() {
+        for (index, replica) in self.replicas.iter_mut().enumerate() {
             if is_tick {
                 replica.tick(now);
             }
             replica.flush(now);
             let ready = replica.take_ready();
-            self.election_events[at].extend(&ready.election_events);
+            self.election_events[index].extend(&ready.election_events);
             replica.mark_persisted(now);
             for raft in ready.messages {
                 let is_lost = self.isolated == Some(raft.to) || self.isolated == Some(raft.from);
@@ -101,8 +102,8 @@
     }
 
     fn run(&mut self, duration_ms: u64, proposal_interval_ms: u64) {
-        for at in 0..duration_ms {
-            if at % proposal_interval_ms == 0 {
+        for elapsed_ms in 0..duration_ms {
+            if elapsed_ms % proposal_interval_ms == 0 {
                 let command = Bytes::from(vec![7; ENTRY_BYTES]);
                 self.replicas[0].propose(command).expect("leads");
             }
@@ -130,10 +131,10 @@
         "the follower has caught up"
     );
     // 350 entries were lost and 750 are new. The same amount again is allowed for probing.
-    let due = (350 + 750) * ENTRY_BYTES;
+    let needed_bytes = (350 + 750) * ENTRY_BYTES;
     assert!(
-        group.entry_bytes_to_third <= 2 * due,
-        "{} bytes of entries were sent, but {due} were lost or new",
+        group.entry_bytes_to_third <= 2 * needed_bytes,
+        "{} bytes of entries were sent, but {needed_bytes} were lost or new",
         group.entry_bytes_to_third
     );
 }
@@ -144,8 +145,8 @@
     group.run(200, 2);
     // The follower's replies are lost, as on a link that is cut in one direction.
     let mut sent = 0;
-    for at in 0..900_u64 {
-        if at % 2 == 0 {
+    for elapsed_ms in 0..900_u64 {
+        if elapsed_ms % 2 == 0 {
             let command = Bytes::from(vec![7; ENTRY_BYTES]);
             group.replicas[0].propose(command).expect("leads");
         }
@@ -212,10 +213,10 @@
 // Two voters that become candidates at once split the votes. Waiting for a whole election
 // timeout before the next candidacy would leave the group without a leader for too long.
 #[test]
-fn a_split_vote_costs_little() {
+fn a_split_vote_delays_the_next_leader_briefly() {
     // One election timeout, half of one until the next candidacy, and two rounds of votes
     // of up to 50 ms each.
-    const LONGEST_MS: u64 = ELECTION_TIMEOUT_MAX.as_millis() as u64 + 600;
+    const LEADERLESS_MAX_MS: u64 = ELECTION_TIMEOUT_MAX.as_millis() as u64 + 600;
     for seed in 0..300 {
         let mut group = Group::seeded(seed);
         group.run(100, 2);
@@ -226,13 +227,13 @@
                 .iter()
                 .any(|r| r.holds_lease(Moment(group.now)))
         };
-        let took = (0..10_000).find(|_| {
+        let elapsed_ms = (0..10_000).find(|_| {
             group.step();
             has_leader(&group)
         });
         assert!(
-            took.is_some_and(|took| took <= LONGEST_MS),
-            "seed {seed}: the next leader came after {took:?} ms: {:?}",
+            elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms <= LEADERLESS_MAX_MS),
+            "seed {seed}: the next leader came after {elapsed_ms:?} ms: {:?}",
             group.election_events
         );
     }
@@ -247,14 +248,14 @@
     group.run(3_000, 2);
     group.isolated = None;
     group.run(50, 2);
-    let stood = |b: &ElectionEvent| matches!(b, ElectionEvent::Stood { pre: true, .. });
+    let stood = |event: &ElectionEvent| matches!(event, ElectionEvent::Stood { pre: true, .. });
     assert!(
         group.election_events[2].iter().any(stood),
         "the isolated replica reports its pre-vote"
     );
-    let refused = |b: &ElectionEvent| {
+    let refused = |event: &ElectionEvent| {
         matches!(
-            b,
+            event,
             ElectionEvent::Asked {
                 candidate: 3,
                 refused: Some(VoteRefusal::HearsLeader),
