--- a/src/cell/control/log.rs
+++ b/src/cell/control/log.rs
@@ -49,9 +49,9 @@
         self.compact();
     }
 
-    fn log_election_events(&self, ballots: Vec<ElectionEvent>) {
-        for ballot in ballots {
-            let line = match ballot {
+    fn log_election_events(&self, events: Vec<ElectionEvent>) {
+        for event in events {
+            let line = match event {
                 ElectionEvent::Stood {
                     pre,
                     term,
--- a/src/cell/control/mod.rs
+++ b/src/cell/control/mod.rs
@@ -60,7 +60,7 @@
     Permission(u64, u64, Permission),
 }
 
-/// Where the answer to a query goes.
+/// Sender of a query, which receives the answer.
 #[derive(Debug)]
 enum Origin {
     /// A peer, and the peer's id of the call.
@@ -97,12 +97,12 @@
     next_call: u64,
     /// Answers to send once the log entry with this index is applied.
     deferred_answers: BTreeMap<u64, Vec<(Call, Answer)>>,
-    /// When the entry with this index was proposed.
+    /// Time at which the log entry with this index was proposed.
     proposed_at: BTreeMap<u64, Moment>,
     disk_requests: std::sync::mpsc::Sender<Request>,
-    /// Whether the disk thread has a write to finish.
+    /// Whether a write of the replica's changes is in progress.
     storing: bool,
-    /// Whether the disk thread has a snapshot to finish.
+    /// Whether a compaction of the log is in progress.
     compacting: bool,
     results: mpsc::Sender<TaskResult>,
     next_ping_at: Moment,
@@ -250,14 +250,14 @@
                 });
             }
             last = now;
-            self.drain(&mut inboxes);
+            self.handle_queued_inputs(&mut inboxes);
             self.tick();
             self.process_ready();
             busy = self.clock.now().since(last);
         }
     }
 
-    fn drain(&mut self, inboxes: &mut Inboxes) {
+    fn handle_queued_inputs(&mut self, inboxes: &mut Inboxes) {
         for _ in 0..BATCH_INPUTS_MAX {
             if let Ok(event) = inboxes.events.try_recv() {
                 self.handle_link_event(event);
@@ -377,26 +377,26 @@
             return;
         }
         self.next_voter_review_at = now + VOTER_REVIEW_INTERVAL;
-        let place = |peer: &Peer| Location {
+        let location_of = |peer: &Peer| Location {
             name: peer.name.clone(),
             zone: peer.zone.clone(),
         };
-        let mut places: BTreeMap<u64, Location> = self
+        let mut locations: BTreeMap<u64, Location> = self
             .peers
             .values()
             .filter(|p| p.durable)
-            .map(|p| (p.replica, place(p)))
+            .map(|p| (p.replica, location_of(p)))
             .collect();
         let own = Location {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
         };
-        places.insert(self.identity.replica, own);
-        let wanted = Constraints {
+        locations.insert(self.identity.replica, own);
+        let constraints = Constraints {
             voters: self.settings.voters,
             replace_after: self.settings.replace_after,
         };
-        if let Some(next) = roster::next_voters(now, &self.replica, &places, wanted) {
+        if let Some(next) = roster::next_voters(now, &self.replica, &locations, constraints) {
             // Rejected while another membership change is in progress; retried at the next
             // review.
             let _ = self.replica.propose_voters(next);
@@ -411,7 +411,7 @@
     fn update_leadership(&mut self, now: Moment) {
         let term = self.replica.term();
         let lost = match &self.lead {
-            Some((led, _)) => *led != term || !self.replica.is_leader(),
+            Some((led_term, _)) => *led_term != term || !self.replica.is_leader(),
             None => false,
         };
         if lost {
@@ -423,8 +423,8 @@
         let leader = self.replica.leader();
         if leader != self.logged_leader {
             self.logged_leader = leader;
-            let name = leader.and_then(|id| self.instance_of(id));
-            if let Some(peer) = name.and_then(|id| self.peers.get(&id)) {
+            let instance = leader.and_then(|id| self.instance_of(id));
+            if let Some(peer) = instance.and_then(|id| self.peers.get(&id)) {
                 let leader = peer.name.clone();
                 self.journal.write(&Line::LeaderSeen { leader, term });
             }
@@ -505,10 +505,10 @@
             return;
         };
         let effects = match result {
-            TaskResult::Reply(of, number, reply) if of == *term => {
+            TaskResult::Reply(request_term, number, reply) if request_term == *term => {
                 lead.handle_reply(now, &self.state, number, reply)
             }
-            TaskResult::Permission(of, number, permission) if of == *term => {
+            TaskResult::Permission(request_term, number, permission) if request_term == *term => {
                 lead.handle_permission(now, &self.state, number, permission)
             }
             // The request was made in an earlier term of this instance.
@@ -568,10 +568,10 @@
             return;
         };
         let (term, number, results) = (*term, order.number, self.results.clone());
-        let leased = self.replica.holds_lease(self.clock.now());
+        let holds_lease = self.replica.holds_lease(self.clock.now());
         let transport = Arc::clone(&self.transport);
         tokio::spawn(async move {
-            let reply = if leased {
+            let reply = if holds_lease {
                 transport.send_order(order).await
             } else {
                 Reply::NotSent
--- a/src/cell/entry.rs
+++ b/src/cell/entry.rs
@@ -112,10 +112,10 @@
         token.child_token(),
     );
     tokio::spawn(Arc::clone(&mesh).run(listener));
-    let (leader, seen) = watch::channel(Leader::default());
+    let (leader, leader_updates) = watch::channel(Leader::default());
     let entry = Entry {
         shared: Arc::default(),
-        leader: seen,
+        leader: leader_updates,
         clock: Clock::default(),
         mesh: Arc::clone(&mesh),
     };
@@ -175,9 +175,9 @@
                 return outcome(failure, attempts);
             };
             attempts += 1;
-            let limit = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+            let attempt_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
             let answered = tokio::select! {
-                answered = timeout_at(limit, answer) => answered,
+                answered = timeout_at(attempt_deadline, answer) => answered,
                 // A replaced leader may never answer, so retry with the new one at once.
                 () = self.await_term_after(leader.term) => {
                     result_unknown = true;
@@ -214,23 +214,27 @@
     }
 
     async fn await_term_after(&self, term: u64) {
-        let mut seen = self.leader.clone();
+        let mut leader_updates = self.leader.clone();
         // The sender is dropped only when the instance stops. The caller's time-out ends the
         // wait then.
-        if seen.wait_for(|leader| leader.term > term).await.is_err() {
+        if leader_updates
+            .wait_for(|leader| leader.term > term)
+            .await
+            .is_err()
+        {
             std::future::pending::<()>().await;
         }
     }
 
     async fn await_leader(&self, deadline: Instant) -> Leader {
-        let limit = deadline.min(Instant::now() + LEADER_WAIT);
-        let mut seen = self.leader.clone();
+        let wait_deadline = deadline.min(Instant::now() + LEADER_WAIT);
+        let mut leader_updates = self.leader.clone();
         loop {
-            let leader = *seen.borrow_and_update();
+            let leader = *leader_updates.borrow_and_update();
             if is_fresh(&leader, self.clock.now()) {
                 return leader;
             }
-            let changed = timeout_at(limit, seen.changed()).await;
+            let changed = timeout_at(wait_deadline, leader_updates.changed()).await;
             if !matches!(changed, Ok(Ok(()))) {
                 return Leader {
                     instance: None,
--- a/src/cell/journal.rs
+++ b/src/cell/journal.rs
@@ -46,7 +46,7 @@
     },
     /// The new settings are invalid; the previous ones stay in force.
     ReloadRefused {
-        /// Reason.
+        /// Error message.
         error: String,
     },
     /// A link to a peer is up.
@@ -63,7 +63,7 @@
     },
     /// The handshake with a peer failed.
     PeerRefused {
-        /// Reason.
+        /// Error message.
         error: String,
     },
     /// This instance became the leader.
@@ -120,7 +120,7 @@
     },
     /// Writing to the data folder failed.
     DiskRefused {
-        /// Reason.
+        /// Error message.
         error: String,
     },
     /// A failed write to the data folder succeeded on a retry.
@@ -162,7 +162,7 @@
     Unreadable {
         /// Kind of data.
         what: &'static str,
-        /// Reason.
+        /// Error message.
         error: String,
     },
     /// A request to a worker or the permission service was not sent, because no connection
@@ -212,7 +212,7 @@
 }
 
 impl Journal {
-    /// Makes a journal that writes to `sink`, and the guard of its writer thread. Dropping
+    /// Creates a journal that writes to `sink`, and the guard of its writer thread. Dropping
     /// the guard writes the lines that are still queued.
     pub fn new(instance: &str, sink: impl std::io::Write + Send + 'static) -> (Self, WorkerGuard) {
         let (writer, guard) = NonBlockingBuilder::default()
--- a/src/cell/metrics.rs
+++ b/src/cell/metrics.rs
@@ -117,8 +117,8 @@
     }
 
     /// Records a duration.
-    pub fn observe(histogram: &Histogram, took: Duration) {
-        histogram.observe(took.as_secs_f64());
+    pub fn observe(histogram: &Histogram, duration: Duration) {
+        histogram.observe(duration.as_secs_f64());
     }
 
     /// Returns all metrics in the Prometheus text format.
--- a/src/client.rs
+++ b/src/client.rs
@@ -101,7 +101,7 @@
     }
 
     async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>> {
-        let failed = |err: &dyn std::fmt::Display| {
+        let exchange_error = |err: &dyn std::fmt::Display| {
             Error::new(Kind::UpstreamFailed, format!("{}: {err}", self.address))
         };
         let mut sender = match self.sender.take().filter(|s| s.is_ready()) {
@@ -111,9 +111,9 @@
         let response = sender
             .send_request(request)
             .await
-            .map_err(|err| failed(&err))?;
+            .map_err(|err| exchange_error(&err))?;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|err| failed(&err))?;
+        let body = body.collect().await.map_err(|err| exchange_error(&err))?;
         self.sender = Some(sender);
         Ok(Response::from_parts(head, body.to_bytes()))
     }
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -111,10 +111,10 @@
 
 async fn status(caller: &Caller, job: u64) -> Result<()> {
     let path = format!("/v1/jobs/{job}");
-    let shown: JobInfo = caller.client().call("GET", &path, None::<&()>).await?;
+    let info: JobInfo = caller.client().call("GET", &path, None::<&()>).await?;
     print(format_args!(
         "{}\t{}\t{}\t{}\t{}/{}\t{}",
-        shown.id, shown.team, shown.spec.name, shown.zone, shown.ended, shown.tasks, shown.state
+        info.id, info.team, info.spec.name, info.zone, info.ended, info.tasks, info.state
     ))
 }
 
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -170,17 +170,17 @@
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
     let run_id: u32 = rand::random();
     let started = Instant::now();
-    let mut next = started;
+    let mut next_arrival = started;
     let mut last_progress = started;
     let mut number = 0;
     let end = started + Duration::from_secs(args.seconds);
     let mut tasks = Vec::new();
     let clients: Arc<Clients> = Arc::default();
-    while next < end {
-        sleep_until(next).await;
+    while next_arrival < end {
+        sleep_until(next_arrival).await;
         // Exponential gaps give Poisson arrivals.
         let gap = -(1.0 - rng.random::<f64>()).ln() / f64::from(args.rate.max(1));
-        next += Duration::from_secs_f64(gap);
+        next_arrival += Duration::from_secs_f64(gap);
         number += 1;
         let request = random_request(args, teams, &mut rng, number);
         let (shared, clients) = (Arc::clone(&stats), Arc::clone(&clients));
@@ -205,12 +205,12 @@
 
 fn random_request(args: &Args, teams: &[Team], rng: &mut ChaCha8Rng, number: u64) -> Request {
     let total: u32 = teams.iter().map(|t| t.weight).sum();
-    let mut pick = rng.random_range(0..total);
+    let mut offset = rng.random_range(0..total);
     let team = teams
         .iter()
         .find(|team| {
-            let chosen = pick < team.weight;
-            pick = pick.saturating_sub(team.weight);
+            let chosen = offset < team.weight;
+            offset = offset.saturating_sub(team.weight);
             chosen
         })
         .unwrap_or(&teams[0]);
@@ -241,9 +241,9 @@
 ) {
     let id = format!("load-{run_id:08x}-{}", request.number);
     let first = send(&request, request.at, &id, service, deadline, stats, clients).await;
-    if let Some(again) = request.repeat_at {
+    if let Some(repeat_at) = request.repeat_at {
         sleep(Duration::from_millis(5)).await;
-        let second = send(&request, again, &id, service, deadline, stats, clients).await;
+        let second = send(&request, repeat_at, &id, service, deadline, stats, clients).await;
         check_repeat(&id, first.as_ref(), second.as_ref(), stats);
     }
 }
@@ -323,8 +323,8 @@
     }
     if request.order {
         let body = answer.body().clone();
-        let known = stats.order_answers.entry(id.to_owned()).or_insert(body);
-        if *known != *answer.body() {
+        let first_answer = stats.order_answers.entry(id.to_owned()).or_insert(body);
+        if *first_answer != *answer.body() {
             stats.run_twice.insert(id.to_owned());
         }
     }
--- a/src/cmd/local.rs
+++ b/src/cmd/local.rs
@@ -115,8 +115,8 @@
 }
 
 impl DataFolder {
-    fn new(given: Option<&Path>) -> Result<Self> {
-        let (path, temporary) = match given {
+    fn new(data_dir: Option<&Path>) -> Result<Self> {
+        let (path, temporary) = match data_dir {
             Some(path) => (path.to_owned(), false),
             None => {
                 let name = format!("plantaincross-{:016x}", rand::random::<u64>());
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -16,10 +16,10 @@
 ///
 /// Fails if the instance cannot be reached or rejects the request.
 pub fn run(args: &Args) -> Result<()> {
-    let shown = fetch_config(&args.connection)?;
+    let info = fetch_config(&args.connection)?;
     print(format_args!(
         "# version {} digest {}",
-        shown.version, shown.digest
+        info.version, info.digest
     ))?;
-    print(serde_json::to_string_pretty(&shown.config).expect("configuration encodes"))
+    print(serde_json::to_string_pretty(&info.config).expect("configuration encodes"))
 }
--- a/src/cmd/team.rs
+++ b/src/cmd/team.rs
@@ -34,7 +34,7 @@
     let Action::List { connection } = &args.action;
     block_on(async {
         let mut client = connection.client()?;
-        let shown: ConfigInfo = client.call("GET", "/v1/config", None::<&()>).await?;
+        let info: ConfigInfo = client.call("GET", "/v1/config", None::<&()>).await?;
         let statuses: Vec<Status> = client.call("GET", "/v1/status", None::<&()>).await?;
         let mut sums: BTreeMap<&str, (u64, u64, u64)> = BTreeMap::new();
         for load in statuses.iter().flat_map(|s| &s.teams) {
@@ -43,7 +43,7 @@
             sum.1 += load.waiting;
             sum.2 += load.completed;
         }
-        for (name, team) in &shown.config.teams {
+        for (name, team) in &info.config.teams {
             let (running, waiting, completed) =
                 sums.get(name.as_str()).copied().unwrap_or_default();
             print(format_args!(
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -52,9 +52,9 @@
             };
             clients.push(connection.client()?);
         }
-        let mut seen = vec![0; clients.len()];
+        let mut last_seqs = vec![0; clients.len()];
         loop {
-            for record in fetch(&mut clients, &mut seen).await? {
+            for record in fetch(&mut clients, &mut last_seqs).await? {
                 let line = format_line(&record);
                 if is_selected(args, &record, &line) {
                     print(line)?;
@@ -70,9 +70,9 @@
 
 /// Fetches the records after the last seen sequence number of every instance and
 /// merges them in order of time.
-async fn fetch(clients: &mut [Client], seen: &mut [u64]) -> Result<Vec<Record>> {
+async fn fetch(clients: &mut [Client], last_seqs: &mut [u64]) -> Result<Vec<Record>> {
     let mut merged = BTreeMap::new();
-    for (client, seen) in clients.iter_mut().zip(seen) {
+    for (client, seen) in clients.iter_mut().zip(last_seqs) {
         loop {
             let path = format!("/v1/events?after={seen}");
             let events: Events = client.call("GET", &path, None::<&()>).await?;
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -25,7 +25,7 @@
 /// Maximum number of inputs handled per sync of the log.
 const BATCH_INPUTS_MAX: usize = 512;
 /// Gap between ticks above which an event reports that the process was paused.
-const PAUSE_MIN: Duration = Duration::from_millis(1_000);
+const SUSPENSION_MIN: Duration = Duration::from_millis(1_000);
 
 /// Counters that identify the content of the latest published view, to publish only changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -70,12 +70,12 @@
                     last_tick = now;
                     self.step(Input::Tick);
                 }
-                Some(notice) = inbox.recv() => self.handle_notice(notice),
+                Some(event) = inbox.recv() => self.handle_link_event(event),
                 Some(command) = commands.recv() => self.handle_command(command),
             }
             for _ in 0..BATCH_INPUTS_MAX {
-                if let Ok(notice) = inbox.try_recv() {
-                    self.handle_notice(notice);
+                if let Ok(event) = inbox.try_recv() {
+                    self.handle_link_event(event);
                 } else if let Ok(command) = commands.try_recv() {
                     self.handle_command(command);
                 } else {
@@ -91,7 +91,7 @@
     }
 
     fn record_pause(&self, gap: Duration) {
-        if gap > PAUSE_MIN {
+        if gap > SUSPENSION_MIN {
             let millis = u64::try_from(gap.as_millis()).unwrap_or(u64::MAX);
             self.traffic.record(Event::Paused { millis });
         }
@@ -103,8 +103,8 @@
         self.apply_effects(effects);
     }
 
-    fn handle_notice(&mut self, notice: LinkEvent) {
-        match notice {
+    fn handle_link_event(&mut self, event: LinkEvent) {
+        match event {
             LinkEvent::Up(peer, link) => {
                 let links = self.links.entry(peer.id).or_default();
                 links.push(link);
@@ -247,14 +247,14 @@
         if !self.control.replica().is_uninitialized() {
             self.mesh.set_founded();
         }
-        let state = Published {
+        let current = Published {
             version: registry.version,
             key_changes: registry.key_changes,
             tombstones: tombstones.len(),
             zones: registry.zone_names.len(),
         };
-        if state != self.published {
-            self.published = state;
+        if current != self.published {
+            self.published = current;
             let view = View::new(
                 registry.keys.iter(),
                 |id| tombstones.contains(id),
--- a/src/http/callers.rs
+++ b/src/http/callers.rs
@@ -63,19 +63,25 @@
         Ok(incoming) => {
             let id = incoming.id.clone();
             match app.proxy.run(incoming).await {
-                Ok(answer) => to_response(answer, &id),
-                Err(refused) => {
-                    app.node.traffic.metrics.record_refusal(refused.error.kind);
-                    refused.into_response()
+                Ok(response) => to_response(response, &id),
+                Err(error_response) => {
+                    app.node
+                        .traffic
+                        .metrics
+                        .record_refusal(error_response.error.kind);
+                    error_response.into_response()
                 }
             }
         }
-        Err(mut refused) => {
-            app.node.traffic.metrics.record_refusal(refused.error.kind);
-            if repeatable && may_have_run(refused.error.kind) {
-                refused.run = Some(Run::Unknown);
+        Err(mut error_response) => {
+            app.node
+                .traffic
+                .metrics
+                .record_refusal(error_response.error.kind);
+            if repeatable && may_have_run(error_response.error.kind) {
+                error_response.run = Some(Run::Unknown);
             }
-            refused.into_response()
+            error_response.into_response()
         }
     }
 }
@@ -194,8 +200,8 @@
     kept
 }
 
-fn to_response(answer: FullResponse, id: &str) -> Response {
-    let (head, body) = answer.into_parts();
+fn to_response(upstream_response: FullResponse, id: &str) -> Response {
+    let (head, body) = upstream_response.into_parts();
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = head.status;
     for (name, value) in &head.headers {
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -75,8 +75,8 @@
         }
         traffic.suspend(assignment.upstream);
         if let Some(responder) = responder.take() {
-            let refused = ErrorResponse::new(Kind::DeadlineExceeded, &incoming.id);
-            self.respond(incoming, responder, Err(refused));
+            let error_response = ErrorResponse::new(Kind::DeadlineExceeded, &incoming.id);
+            self.respond(incoming, responder, Err(error_response));
         }
         exchange.await
     }
--- a/src/http/jobs.rs
+++ b/src/http/jobs.rs
@@ -90,9 +90,9 @@
 }
 
 fn check(spec: &Spec) -> Result<()> {
-    let bad = |message: &str| Err(Error::new(Kind::BadRequest, message));
+    let bad_request = |message: &str| Err(Error::new(Kind::BadRequest, message));
     if !crate::config::is_name(&spec.name) {
-        return bad("the job needs a name of letters, digits, `-`, `_` or `.`");
+        return bad_request("the job needs a name of letters, digits, `-`, `_` or `.`");
     }
     if spec.tasks == 0 || spec.tasks > TASKS_PER_JOB_MAX {
         return Err(Error::new(
@@ -101,7 +101,7 @@
         ));
     }
     if spec.size.cpu_milli == 0 || spec.size.memory_mb == 0 {
-        return bad("cpu_milli and memory_mb of a task must be greater than 0");
+        return bad_request("cpu_milli and memory_mb of a task must be greater than 0");
     }
     Ok(())
 }
@@ -110,10 +110,10 @@
 /// the local zone wins a tie.
 async fn choose_zone(app: &App, zones: &[String], spec: &Spec) -> Result<String> {
     let mut best: Option<(u64, String)> = None;
-    let mut misfits = Vec::new();
-    let own = app.node.traffic.zone.clone();
-    let others = zones.iter().filter(|zone| **zone != own).cloned();
-    for zone in std::iter::once(own.clone()).chain(others) {
+    let mut reasons = Vec::new();
+    let local_zone = app.node.traffic.zone.clone();
+    let others = zones.iter().filter(|zone| **zone != local_zone).cloned();
+    for zone in std::iter::once(local_zone.clone()).chain(others) {
         let query = Query::Admit(Box::new(spec.clone()));
         let answer = app.node.ask(Target::Zone(zone.clone()), query).await;
         match answer {
@@ -126,7 +126,7 @@
             Ok(Answer::Admission {
                 misfit: Some(reason),
                 ..
-            }) => misfits.push(format!("{zone}: {reason}")),
+            }) => reasons.push(format!("{zone}: {reason}")),
             // The zone has less free capacity or cannot be reached.
             _ => {}
         }
@@ -134,10 +134,10 @@
     if let Some((_, zone)) = best {
         return Ok(zone);
     }
-    if misfits.is_empty() {
+    if reasons.is_empty() {
         return Err(Error::new(Kind::NoQuorum, "no zone leader can be reached"));
     }
-    Err(Error::new(Kind::Unplaceable, misfits.join("; ")))
+    Err(Error::new(Kind::Unplaceable, reasons.join("; ")))
 }
 
 /// Returns the team of the caller's key, or `None` for an operator, who may see all jobs.
--- a/src/http/operators.rs
+++ b/src/http/operators.rs
@@ -26,7 +26,7 @@
 /// Longest wait for a zone leader to confirm a key withdrawal, and for a configuration
 /// version to be applied here.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two checks while waiting for either.
+/// Interval between checks during these waits.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Request body to push a configuration.
@@ -317,7 +317,7 @@
             return Err(Kind::Internal.into());
         };
         let waits_for = match home_zone {
-            Some(zone) => (!wait_applied(&app, &zone, at).await).then_some(zone),
+            Some(zone) => (!wait_until_applied(&app, &zone, at).await).then_some(zone),
             None => None,
         };
         Ok(Withdrawal {
@@ -330,7 +330,7 @@
 
 // Waits until the leader of the key's home zone has applied the withdrawal; until then that
 // zone may keep accepting the key.
-async fn wait_applied(app: &App, zone: &str, at: u64) -> bool {
+async fn wait_until_applied(app: &App, zone: &str, at: u64) -> bool {
     let deadline = tokio::time::Instant::now() + CONFIRM_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
         let target = Target::Zone(zone.to_owned());
@@ -363,14 +363,14 @@
         let Answer::Status(own) = app.node.ask(Target::Local, Query::Status).await? else {
             return Err(Kind::Internal.into());
         };
-        let mut all = vec![own.clone()];
+        let mut statuses = vec![own.clone()];
         for peer in &own.peers {
             let target = Target::Instance(peer.id);
             if let Ok(Answer::Status(status)) = app.node.ask(target, Query::Status).await {
-                all.push(status);
+                statuses.push(status);
             }
         }
-        Ok(all)
+        Ok(statuses)
     };
     respond(status.await)
 }
--- a/src/http/platform.rs
+++ b/src/http/platform.rs
@@ -136,8 +136,8 @@
         return Ok(());
     }
     let given = bearer(headers)?.unwrap_or_default();
-    let same = sha256(given.as_bytes()).ct_eq(&sha256(token.as_bytes()));
-    if bool::from(same) {
+    let is_equal = sha256(given.as_bytes()).ct_eq(&sha256(token.as_bytes()));
+    if bool::from(is_equal) {
         return Ok(());
     }
     Err(Error::new(Kind::Unauthenticated, "wrong platform token"))
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -70,7 +70,7 @@
     since: Instant,
 }
 
-/// Idle connections by upstream address.
+/// Pool of connections by the address of the upstream or worker.
 #[derive(Debug)]
 pub struct Pool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
--- a/src/http/proxy.rs
+++ b/src/http/proxy.rs
@@ -31,7 +31,7 @@
 pub const SENDER_HEADER: &str = "x-plantaincross-sender";
 /// Maximum number of attempts to report the outcome of a claimed request to its home zone.
 const SETTLE_ATTEMPTS_MAX: u32 = 5;
-/// Pause between these attempts.
+/// Pause between attempts to report the outcome.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Interval at which expired idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -97,9 +97,9 @@
     /// Creates a proxy and starts the task that closes expired idle connections.
     pub fn new(node: Node) -> Self {
         let pool: Arc<Pool> = Arc::default();
-        let sweeper = Arc::downgrade(&pool);
+        let weak_pool = Arc::downgrade(&pool);
         tokio::spawn(async move {
-            while let Some(pool) = sweeper.upgrade() {
+            while let Some(pool) = weak_pool.upgrade() {
                 pool.sweep();
                 drop(pool);
                 tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -143,12 +143,12 @@
         });
         let claim = match self.claim(&incoming).await {
             Ok(claim) => claim,
-            Err(Denial::Repeat(answer)) => {
-                self.respond(&incoming, responder, Ok(answer));
+            Err(Denial::Repeat(response)) => {
+                self.respond(&incoming, responder, Ok(response));
                 return;
             }
-            Err(Denial::Refused(refused)) => {
-                self.respond(&incoming, responder, Err(refused));
+            Err(Denial::Refused(error_response)) => {
+                self.respond(&incoming, responder, Err(error_response));
                 return;
             }
         };
@@ -158,9 +158,9 @@
                 self.node.traffic.metrics.record_wait(waited);
                 assignment
             }
-            Err(refused) => {
+            Err(error_response) => {
                 self.settle_claim(claim, End::Released);
-                self.respond(&incoming, responder, Err(refused));
+                self.respond(&incoming, responder, Err(error_response));
                 return;
             }
         };
@@ -195,7 +195,7 @@
             generated_age: incoming.generated_age,
         };
         let query = Query::Claim(attempt.clone());
-        let refused = |error: Error| Denial::Refused(ErrorResponse::new(error, &incoming.id));
+        let deny = |error: Error| Denial::Refused(ErrorResponse::new(error, &incoming.id));
         match self.node.ask(Target::Zone(home.clone()), query).await {
             Ok(Answer::Verdict(Verdict::Granted)) => {
                 traffic.record(Event::RequestClaimed {
@@ -205,13 +205,13 @@
                 Ok(Some(attempt))
             }
             Ok(Answer::Verdict(Verdict::Repeat(answer))) => Err(Denial::Repeat(restore(answer))),
-            Ok(Answer::Verdict(Verdict::Refused(kind))) => Err(refused(kind.into())),
-            Ok(_) => Err(refused(Kind::Internal.into())),
+            Ok(Answer::Verdict(Verdict::Refused(kind))) => Err(deny(kind.into())),
+            Ok(_) => Err(deny(Kind::Internal.into())),
             Err(err) => {
                 // The claim may have been granted although no answer arrived. It is released,
                 // because this request will not be sent.
                 self.settle_claim(Some(attempt), End::Released);
-                Err(refused(Error::new(Kind::ClaimUnavailable, err.message)))
+                Err(deny(Error::new(Kind::ClaimUnavailable, err.message)))
             }
         }
     }
@@ -257,11 +257,11 @@
             }
             Err(refusal) => refusal,
         };
-        let mut refused = ErrorResponse::new(refusal.kind, &incoming.id);
-        refused.retry_after = Some(refusal.retry_after);
+        let mut error_response = ErrorResponse::new(refusal.kind, &incoming.id);
+        error_response.retry_after = Some(refusal.retry_after);
         // The id may have been used before elsewhere, but this request held its claim, so the
         // default `run` value of the kind is right.
-        Err(refused)
+        Err(error_response)
     }
 
     async fn run_attempts(
@@ -280,9 +280,9 @@
             let outcome = self.attempt(&incoming, assignment, &mut responder).await;
             self.release(assignment, &outcome);
             let failed = match outcome {
-                Outcome::Answered(answer) => {
-                    let end = End::Answered(storable_answer(&answer));
-                    break (end, Ok(answer));
+                Outcome::Answered(response) => {
+                    let end = End::Answered(storable_answer(&response));
+                    break (end, Ok(response));
                 }
                 Outcome::Unsent(message) => (Kind::UpstreamUnreachable, message),
                 Outcome::Failed(kind, message, _) => {
@@ -298,9 +298,10 @@
                 continue;
             }
             let end = if sent { End::Lost } else { End::Released };
-            let mut refused = ErrorResponse::new(Error::new(failed.0, failed.1), &incoming.id);
-            refused.run = Some(if sent { Run::Unknown } else { Run::NotRun });
-            break (end, Err(refused));
+            let mut error_response =
+                ErrorResponse::new(Error::new(failed.0, failed.1), &incoming.id);
+            error_response.run = Some(if sent { Run::Unknown } else { Run::NotRun });
+            break (end, Err(error_response));
         };
         self.settle_claim(claim, end);
         if let Some(responder) = responder {
@@ -365,14 +366,14 @@
     ) {
         let traffic = &self.node.traffic;
         let event = match &result {
-            Ok(answer) => Event::RequestAnswered {
+            Ok(response) => Event::RequestAnswered {
                 request: incoming.id.clone(),
-                status: answer.status().as_u16(),
+                status: response.status().as_u16(),
                 millis: traffic.clock.now().since(incoming.received_at).as_millis() as u64,
             },
-            Err(refused) => Event::RequestRefused {
+            Err(error_response) => Event::RequestRefused {
                 request: incoming.id.clone(),
-                kind: refused.error.kind.to_string(),
+                kind: error_response.error.kind.to_string(),
             },
         };
         traffic.record(event);
@@ -387,6 +388,7 @@
 enum Denial {
     /// The request ran before, with this response.
     Repeat(FullResponse),
+    /// The claim was refused or could not be recorded.
     Refused(ErrorResponse),
 }
 
@@ -408,18 +410,18 @@
 }
 
 // Returns the part of a response that is stored with the claim, unless its body is too large.
-fn storable_answer(answer: &FullResponse) -> Option<claim::Answer> {
-    if answer.body().len() > ANSWER_MAX_BYTES {
+fn storable_answer(response: &FullResponse) -> Option<claim::Answer> {
+    if response.body().len() > ANSWER_MAX_BYTES {
         return None;
     }
     Some(claim::Answer {
-        status: answer.status().as_u16(),
-        content_type: answer
+        status: response.status().as_u16(),
+        content_type: response
             .headers()
             .get(header::CONTENT_TYPE)
             .and_then(|v| v.to_str().ok())
             .map(str::to_owned),
-        body: answer.body().to_vec(),
+        body: response.body().to_vec(),
     })
 }
 
--- a/src/http/reply.rs
+++ b/src/http/reply.rs
@@ -53,20 +53,20 @@
 
 impl IntoResponse for ErrorResponse {
     fn into_response(self) -> Response {
-        let answer = self.error.kind.answer();
-        let failure = ErrorBody {
+        let defaults = self.error.kind.answer();
+        let body = ErrorBody {
             kind: self.error.kind,
-            run: self.run.unwrap_or(answer.run),
+            run: self.run.unwrap_or(defaults.run),
             message: &self.error.message,
             request: &self.request,
         };
         let status =
-            StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        let mut response = json(status, &failure);
+            StatusCode::from_u16(defaults.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+        let mut response = json(status, &body);
         let headers = response.headers_mut();
-        if let Some(wait) = answer
+        if let Some(wait) = defaults
             .retry_after
-            .map(|own| self.retry_after.unwrap_or(own))
+            .map(|default| self.retry_after.unwrap_or(default))
         {
             let secs = wait.as_secs_f64().ceil() as u64;
             headers.insert(header::RETRY_AFTER, HeaderValue::from(secs.max(1)));
--- a/src/merge.rs
+++ b/src/merge.rs
@@ -108,7 +108,7 @@
                 return;
             }
         };
-        let mut seen: BTreeMap<String, usize> = BTreeMap::new();
+        let mut section_counts: BTreeMap<String, usize> = BTreeMap::new();
         for (section, values) in &ini {
             let Some(section) = section else {
                 if let Some((key, _)) = values.iter().next() {
@@ -117,18 +117,18 @@
                 }
                 continue;
             };
-            let nth = *seen.get(section).unwrap_or(&0);
-            seen.insert(section.to_owned(), nth + 1);
-            let at = line_of(&source.text, section, nth, None);
+            let nth = *section_counts.get(section).unwrap_or(&0);
+            section_counts.insert(section.to_owned(), nth + 1);
+            let section_line = line_of(&source.text, section, nth, None);
             if nth > 0 {
                 self.add_fault(
                     &source.name,
-                    at,
+                    section_line,
                     format!("section [{section}] stands twice"),
                 );
                 continue;
             }
-            self.add_section(source, section, at);
+            self.add_section(source, section, section_line);
             for (key, value) in values.iter() {
                 let line = line_of(&source.text, section, nth, Some(key));
                 if let Err(message) = self.add_value(section, key, value) {
@@ -235,7 +235,8 @@
                 .get(&(section.clone(), key))
                 .or_else(|| self.origins.get(&(section, String::new())))
                 .cloned();
-            let (file, line) = origin.map_or((String::new(), 0), |p| (p.file, p.line));
+            let (file, line) =
+                origin.map_or((String::new(), 0), |origin| (origin.file, origin.line));
             self.add_fault(&file, line, message);
         }
     }
@@ -364,22 +365,22 @@
 /// key in it. Returns 0 if there is none.
 pub fn line_of(text: &str, section: &str, nth: usize, key: Option<&str>) -> usize {
     let mut inside = section.is_empty();
-    let mut left = nth;
-    for (at, line) in (1..).zip(text.lines()) {
+    let mut remaining = nth;
+    for (number, line) in (1..).zip(text.lines()) {
         let line = line.trim();
         if let Some(head) = line.strip_prefix('[').and_then(|l| l.split(']').next()) {
-            inside = head.trim() == section && left == 0;
+            inside = head.trim() == section && remaining == 0;
             if head.trim() == section {
-                left = left.saturating_sub(1);
+                remaining = remaining.saturating_sub(1);
             }
             if inside && key.is_none() {
-                return at;
+                return number;
             }
             continue;
         }
         let name = line.split(['=', ':']).next().unwrap_or_default().trim();
         if inside && key == Some(name) {
-            return at;
+            return number;
         }
     }
     0
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -22,7 +22,7 @@
 /// Length of the window over which shortfalls from fair shares are measured.
 const SHARE_WINDOW: Duration = Duration::from_secs(10);
 /// Longest waiting time that the totals distinguish, one hour; longer ones count as this.
-const MAX_WAIT_MICROS: u64 = 3_600_000_000;
+const WAIT_MAX_US: u64 = 3_600_000_000;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct KindLabels {
@@ -195,7 +195,7 @@
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let mut totals = self.totals.lock().expect("totals lock");
         // The histogram resizes itself and the value is bounded, so recording cannot fail.
-        let _ = totals.waiting.record(micros.min(MAX_WAIT_MICROS));
+        let _ = totals.waiting.record(micros.min(WAIT_MAX_US));
     }
 
     /// Returns the statistics since the start of the instance.
@@ -280,12 +280,14 @@
         let used: Vec<f64> = teams
             .iter()
             .map(|team| {
-                let before = self
+                let slot_time_before = self
                     .slot_time_before
                     .get(&team.team)
                     .copied()
                     .unwrap_or_default();
-                team.slot_time.saturating_sub(before).as_secs_f64()
+                team.slot_time
+                    .saturating_sub(slot_time_before)
+                    .as_secs_f64()
             })
             .collect();
         let capacity: f64 = used.iter().sum();
@@ -301,10 +303,10 @@
                 },
             })
             .collect();
-        let short = shortfalls(capacity, &claimants, &used);
+        let team_shortfalls = shortfalls(capacity, &claimants, &used);
         let active = used.iter().filter(|used| **used > 0.0).count().max(1);
-        let max = short.iter().copied().fold(0.0, f64::max);
-        let mean = short.iter().sum::<f64>() / active as f64;
+        let max = team_shortfalls.iter().copied().fold(0.0, f64::max);
+        let mean = team_shortfalls.iter().sum::<f64>() / active as f64;
         self.since = now;
         self.had_waiting.clear();
         self.slot_time_before = teams
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -55,15 +55,15 @@
 }
 
 impl Link {
-    /// Makes a link and the receiver of its outgoing messages.
+    /// Creates a link and the receiver of its outgoing messages.
     pub fn new(number: u64, token: CancellationToken) -> (Self, mpsc::Receiver<Body>) {
-        let (outbox, inbox) = mpsc::channel(OUTBOX_FRAMES_MAX);
+        let (outbox, outgoing) = mpsc::channel(OUTBOX_FRAMES_MAX);
         let link = Self {
             number,
             outbox,
             token,
         };
-        (link, inbox)
+        (link, outgoing)
     }
 
     /// Queues a message to the peer. Closes the link if the queue is full, as when the peer
--- a/src/net/mesh.rs
+++ b/src/net/mesh.rs
@@ -47,7 +47,7 @@
 }
 
 impl Mesh {
-    /// Makes the mesh of an instance. Links are opened and accepted once it runs.
+    /// Creates the mesh of an instance. Links are opened and accepted once it runs.
     pub fn new(
         identity: Identity,
         secret: Vec<u8>,
@@ -68,8 +68,8 @@
         })
     }
 
-    /// Records that this instance belongs to a bootstrapped group, which later handshakes
-    /// tell the peers.
+    /// Records that this instance belongs to a bootstrapped group. Later handshakes announce
+    /// it to the peers.
     pub fn set_founded(&self) {
         self.founded.store(true, Ordering::Relaxed);
     }
@@ -211,12 +211,12 @@
         self.linked
             .lock()
             .expect("linked lock")
-            .retain(|_, at| *at != number);
+            .retain(|_, latest| *latest != number);
         let _ = self.events.send(LinkEvent::Down(id, number)).await;
     }
 }
 
-/// Peer's introduction and the stream, after a successful handshake.
+/// The peer's `Hello` and the framed stream, after a successful handshake.
 type Authenticated = (
     Hello,
     tokio_util::codec::Framed<TcpStream, tokio_util::codec::LengthDelimitedCodec>,
--- a/src/node.rs
+++ b/src/node.rs
@@ -158,7 +158,7 @@
     let replica = wal.as_ref().map_or(id.0, Wal::replica);
     let traffic = Arc::new(Traffic::new(id, &settings.name, &settings.zone, clock));
     let stop = CancellationToken::new();
-    let (notices, inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
+    let (link_events, inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
     let identity = Identity {
         id,
         name: settings.name.clone(),
@@ -173,7 +173,7 @@
         identity.clone(),
         settings.secret.clone(),
         &settings.seeds,
-        notices,
+        link_events,
         stop.child_token(),
     );
     let (commands, command_inbox) = mpsc::channel(INBOX_MESSAGES_MAX);
@@ -271,13 +271,13 @@
 
 fn spawn_expiry(traffic: Arc<Traffic>, stop: CancellationToken) {
     tokio::spawn(async move {
-        let mut ticks = interval(EXPIRE_INTERVAL);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut samples = interval(SAMPLE_INTERVAL);
+        let mut expiry_ticks = interval(EXPIRE_INTERVAL);
+        expiry_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut sample_ticks = interval(SAMPLE_INTERVAL);
         loop {
             tokio::select! {
-                _ = ticks.tick() => traffic.expire(),
-                _ = samples.tick() => traffic.sample(),
+                _ = expiry_ticks.tick() => traffic.expire(),
+                _ = sample_ticks.tick() => traffic.sample(),
                 () = stop.cancelled() => return,
             }
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -34,7 +34,7 @@
     pub data: Option<PathBuf>,
     /// Names of the instances that bootstrap the root group.
     pub founders: Vec<String>,
-    /// Silence of a voter after which a spare replaces it.
+    /// Time without contact after which a voter is replaced by a spare.
     pub replace_after: Duration,
     /// Time for which a graceful shutdown goes on serving new requests.
     pub drain_notice: Duration,
@@ -97,7 +97,7 @@
     }
 
     fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), String> {
-        let words = || value.split_whitespace().map(str::to_owned).collect();
+        let list = || value.split_whitespace().map(str::to_owned).collect();
         match (section, key) {
             ("instance", "name") => self.name = name(value)?,
             ("instance", "zone") => self.zone = name(value)?,
@@ -111,12 +111,12 @@
                     .map_err(|_| format!("`{value}` is not a number"))?;
             }
             ("cell", "seeds") => {
-                self.seeds = words();
+                self.seeds = list();
                 for seed in &self.seeds {
                     address(seed)?;
                 }
             }
-            ("cell", "founders") => self.founders = words(),
+            ("cell", "founders") => self.founders = list(),
             ("cell", "secret-file") => self.secret = read_secret(Path::new(value))?,
             ("cell", "platform-token-file") => {
                 let token = read_secret(Path::new(value))?;
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -85,7 +85,7 @@
     heartbeats_paused: Mutex<bool>,
     /// `seen` of the latest answer to a heartbeat, returned in the next heartbeat.
     seen: Mutex<Option<String>>,
-    counts: bool,
+    reports_running: bool,
     stats: Mutex<Stats>,
     token: CancellationToken,
 }
@@ -142,7 +142,7 @@
             leaving: Mutex::new(false),
             heartbeats_paused: Mutex::new(false),
             seen: Mutex::new(None),
-            counts: options.reports_running,
+            reports_running: options.reports_running,
             stats: Mutex::default(),
             token,
         });
@@ -231,7 +231,7 @@
             .into_iter()
             .map(|entry| Client::new(entry, platform_token.clone(), HEARTBEAT_TIMEOUT))
             .collect();
-        for turn in 0usize.. {
+        for round in 0usize.. {
             tokio::select! {
                 _ = ticks.tick() => {}
                 () = self.state.token.cancelled() => return,
@@ -245,10 +245,11 @@
             {
                 continue;
             }
-            let at = turn % clients.len();
+            let index = round % clients.len();
             let body = self.state.heartbeat();
-            let accepted: Result<serde_json::Value> =
-                clients[at].call("POST", "/v1/upstreams", Some(&body)).await;
+            let accepted: Result<serde_json::Value> = clients[index]
+                .call("POST", "/v1/upstreams", Some(&body))
+                .await;
             match accepted {
                 Ok(answer) => self.state.record_seen(&answer),
                 Err(err) => log::debug!("{}: {err}", self.state.name),
@@ -270,7 +271,7 @@
             "connections": self.connections,
             "leaving": *self.leaving.lock().expect("leaving lock"),
         });
-        if self.counts {
+        if self.reports_running {
             body["running"] = serde_json::json!(stats.by_sender);
             body["seen"] = serde_json::json!(*self.seen.lock().expect("seen lock"));
         }
@@ -382,8 +383,8 @@
 // Runs as its own task, so that the work continues if the caller closes the connection,
 // as on a real upstream.
 async fn simulate_work(state: Arc<Inner>, run: Run) {
-    let time = *state.service_time.lock().expect("time lock");
-    sleep(time).await;
+    let service_time = *state.service_time.lock().expect("time lock");
+    sleep(service_time).await;
     drop(run);
 }
 
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -78,17 +78,17 @@
         seen: 0,
         lease_until: Instant::now(),
     };
-    let mut turn = 0;
+    let mut failed_polls = 0;
     while !token.is_cancelled() && !clients.is_empty() {
-        let at = turn % clients.len();
+        let index = failed_polls % clients.len();
         let next_end = worker.next_end();
         let polled = tokio::select! {
-            polled = worker.poll(&mut clients[at]) => polled,
+            polled = worker.poll(&mut clients[index]) => polled,
             () = wait_until(next_end) => Ok(()),
             () = token.cancelled() => return,
         };
         if polled.is_err() {
-            turn += 1;
+            failed_polls += 1;
             sleep(RETRY_DELAY).await;
         }
         worker.end_due();
@@ -151,13 +151,13 @@
         self.ended
             .retain(|end| !orders.ended.contains(&(end.task, end.attempt)));
         for stop in orders.stop {
-            let runs = self
+            let is_running = self
                 .running
                 .get(&stop.task)
                 .is_some_and(|run| run.attempt == stop.attempt);
-            if runs && stop.how != Action::Throttle {
+            if is_running && stop.how != Action::Throttle {
                 self.end(stop.task, false, true);
-            } else if !runs && !self.has_ended(stop.task, stop.attempt) {
+            } else if !is_running && !self.has_ended(stop.task, stop.attempt) {
                 self.ended.push(EndReport {
                     task: stop.task,
                     attempt: stop.attempt,
@@ -167,9 +167,9 @@
             }
         }
         for start in orders.start {
-            let known =
+            let is_known =
                 self.running.contains_key(&start.task) || self.has_ended(start.task, start.attempt);
-            if known || Instant::now() >= self.lease_until {
+            if is_known || Instant::now() >= self.lease_until {
                 continue;
             }
             let duration = Duration::from_millis(start.run_ms);
--- a/src/store/wal.rs
+++ b/src/store/wal.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, PartialEq, Oneof)]
 enum Content {
     #[prost(message, tag = "1")]
-    Hard(HardStateRecord),
+    HardState(HardStateRecord),
     #[prost(message, tag = "2")]
     Entry(Entry),
     /// Truncates the log: removes the entries from this index on.
@@ -72,7 +72,7 @@
 
 impl Wal {
     /// Reads the state that the folder holds and opens the log file for appending. An
-    /// incomplete record at the end of the file, as a crash leaves it, is cut off.
+    /// incomplete record at the end of the file, as a crash leaves it, is removed.
     ///
     /// # Errors
     ///
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// Fails if the data could not be written or synced, for example on a full disk. The
-    /// call may then be repeated; records that were written in part are cut off.
+    /// call may then be repeated; records that were written in part are removed.
     pub fn store(&mut self, ready: &Ready) -> std::io::Result<()> {
         if let Some(snapshot) = &ready.snapshot {
             // After a crash between the two writes, the old log must not be taken for
@@ -143,8 +143,8 @@
             return Ok(());
         }
         let mut buf = Vec::new();
-        if let Some(hard) = ready.hard_state {
-            put_record(&mut buf, hard_state_record(hard, self.generation));
+        if let Some(hard_state) = ready.hard_state {
+            put_record(&mut buf, hard_state_record(hard_state, self.generation));
         }
         if let Some(from) = ready.truncate_from {
             put_record(&mut buf, Content::Truncate(from));
@@ -200,24 +200,24 @@
         write_atomically(self.folder.path(), SNAPSHOT_FILE, &buf)
     }
 
-    fn rewrite(&mut self, hard: HardState, entries: &[Entry]) -> std::io::Result<()> {
+    fn rewrite(&mut self, hard_state: HardState, entries: &[Entry]) -> std::io::Result<()> {
         let mut buf = Vec::new();
-        put_record(&mut buf, hard_state_record(hard, self.generation));
+        put_record(&mut buf, hard_state_record(hard_state, self.generation));
         for entry in entries {
             put_record(&mut buf, Content::Entry(entry.clone()));
         }
         write_atomically(self.folder.path(), LOG_FILE, &buf)?;
         self.file = open_private(&self.folder.path().join(LOG_FILE))?;
         self.end = buf.len() as u64;
-        self.hard_state = hard;
+        self.hard_state = hard_state;
         Ok(())
     }
 }
 
-const fn hard_state_record(hard: HardState, generation: u64) -> Content {
-    Content::Hard(HardStateRecord {
-        term: hard.term,
-        vote: hard.vote,
+const fn hard_state_record(hard_state: HardState, generation: u64) -> Content {
+    Content::HardState(HardStateRecord {
+        term: hard_state.term,
+        vote: hard_state.vote,
         generation,
     })
 }
@@ -258,17 +258,17 @@
 // end if no intact record follows it.
 fn read_records(bytes: &Bytes) -> Result<(Vec<Content>, usize), usize> {
     let mut records = Vec::new();
-    let mut at = 0;
+    let mut position = 0;
     loop {
-        match record::get(bytes, at) {
+        match record::get(bytes, position) {
             Parsed::Record(content, next) => {
-                let record = Record::decode(content).map_err(|_| at)?;
+                let record = Record::decode(content).map_err(|_| position)?;
                 records.extend(record.content);
-                at = next;
+                position = next;
             }
-            Parsed::End => return Ok((records, at)),
-            Parsed::Damaged if record::any_record_after(bytes, at) => return Err(at),
-            Parsed::Damaged => return Ok((records, at)),
+            Parsed::End => return Ok((records, position)),
+            Parsed::Damaged if record::any_record_after(bytes, position) => return Err(position),
+            Parsed::Damaged => return Ok((records, position)),
         }
     }
 }
@@ -277,17 +277,17 @@
 // a folder, which is of generation 0.
 const fn log_generation(first: &Content) -> u64 {
     match first {
-        Content::Hard(hard) => hard.generation,
+        Content::HardState(hard_state) => hard_state.generation,
         Content::Entry(_) | Content::Truncate(_) => 0,
     }
 }
 
 fn replay(stored: &mut Stored, content: Content) {
     match content {
-        Content::Hard(hard) => {
+        Content::HardState(hard_state) => {
             stored.hard_state = HardState {
-                term: hard.term,
-                vote: hard.vote,
+                term: hard_state.term,
+                vote: hard_state.vote,
             };
         }
         // A crash during compaction can leave entries that the snapshot already covers.
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -242,12 +242,12 @@
     }
 
     /// Releases the slot of an assignment and dispatches waiting requests.
-    pub fn finish(&self, assignment: Assignment, exchange: Completion) {
+    pub fn finish(&self, assignment: Assignment, completion: Completion) {
         let now = self.clock.now();
         let mut gate = self.gate.lock().expect("gate lock");
-        gate.finish(now, assignment, exchange);
+        gate.finish(now, assignment, completion);
         drop(gate);
-        if exchange == Completion::Answered {
+        if completion == Completion::Answered {
             self.budget.lock().expect("budget lock").record_success();
         }
         self.dispatch();
