--- a/src/core/plane/job.rs
+++ b/src/core/plane/job.rs
@@ -73,15 +73,15 @@
 /// Maximum number of occurrences of a job.
 const OCCURRENCES_MAX: u32 = 10_000;
 /// Maximum number of tasks of a job over all occurrences.
-const TASKS_MAX: u64 = 100_000;
+const TASKS_PER_JOB_MAX: u64 = 100_000;
 
 /// Maximum estimate of a run time: one year.
 const ESTIMATE_MAX_MS: u64 = 365 * 24 * 3_600 * 1_000;
 /// Latest due time of the first occurrence, in milliseconds since the Unix epoch: the
 /// largest integer that every JSON implementation represents exactly.
-const FIRST_MAX_MS: u64 = 1 << 53;
+const FIRST_DUE_MAX_MS: u64 = 1 << 53;
 /// Maximum interval between occurrences: one hundred years.
-const EVERY_MAX_MS: u64 = 100 * ESTIMATE_MAX_MS;
+const INTERVAL_MAX_MS: u64 = 100 * ESTIMATE_MAX_MS;
 
 impl Submission {
     /// Checks that steps depend only on earlier ones and that all sizes are in range.
@@ -115,12 +115,12 @@
                 ));
             }
         }
-        if self.first_ms > FIRST_MAX_MS || self.every_ms > EVERY_MAX_MS {
+        if self.first_ms > FIRST_DUE_MAX_MS || self.every_ms > INTERVAL_MAX_MS {
             return Err("the first due time or the interval is out of range".to_owned());
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         let occurrences = u64::from(self.repeat.max(1));
-        if self.repeat > OCCURRENCES_MAX || tasks * occurrences > TASKS_MAX {
+        if self.repeat > OCCURRENCES_MAX || tasks * occurrences > TASKS_PER_JOB_MAX {
             return Err("the job has too many tasks or occurrences".to_owned());
         }
         Ok(())
@@ -274,20 +274,20 @@
     /// Returns whether all steps that this step depends on are done.
     pub fn is_unblocked(&self, occurrence: usize, step: usize) -> bool {
         let steps = &self.occurrences[occurrence];
-        let mut before = self.submission.steps[step].after.iter();
-        before.all(|&at| steps[usize::from(at)].is_done())
+        let mut dependencies = self.submission.steps[step].after.iter();
+        dependencies.all(|&index| steps[usize::from(index)].is_done())
     }
 
     /// Returns the estimated length of the critical path through the steps that are not
-    /// done, or through all steps if `whole` is set, in milliseconds.
-    pub fn critical_path_ms(&self, occurrence: usize, whole: bool) -> u64 {
+    /// done, or through all steps if `include_done` is set, in milliseconds.
+    pub fn critical_path_ms(&self, occurrence: usize, include_done: bool) -> u64 {
         if let [only] = self.submission.steps.as_slice() {
             return only.estimate_ms;
         }
         let mut ends = Vec::with_capacity(self.submission.steps.len());
         for (at, spec) in self.submission.steps.iter().enumerate() {
             let before = spec.after.iter().map(|&b| ends[usize::from(b)]).max();
-            let is_done = !whole && self.occurrences[occurrence][at].is_done();
+            let is_done = !include_done && self.occurrences[occurrence][at].is_done();
             let own = if is_done { 0 } else { spec.estimate_ms };
             ends.push(before.unwrap_or(0) + own);
         }
--- a/src/core/plane/lead/ask.rs
+++ b/src/core/plane/lead/ask.rs
@@ -49,8 +49,8 @@
         step: StepName,
         targets: &Targets,
     ) -> Option<Vec<WorkerKey>> {
-        let known = self.permits.for_step(step)?;
-        let permitted = known.permitted.keys().copied();
+        let step_permits = self.permits.for_step(step)?;
+        let permitted = step_permits.permitted.keys().copied();
         let permitted: Vec<WorkerKey> = permitted
             .filter(|&key| targets.get(key).is_some())
             .collect();
@@ -69,15 +69,15 @@
         state: &State,
         step: StepName,
         required: &Requirement,
-        terms: Permission,
+        permission: Permission,
         eligible: &[WorkerKey],
         targets: &Targets,
         existing: &HashMap<WorkerKey, u16>,
         wanted: usize,
     ) {
         let is_gang = is_gang(state, step);
-        let batch = batch_size(terms, is_gang);
-        let is_slow = expected_duration(terms, batch) >= SLOW_REQUEST_MIN;
+        let batch = batch_size(permission, is_gang);
+        let is_slow = expected_duration(permission, batch) >= SLOW_REQUEST_MIN;
         if self.permits.is_waiting(now.at, step) || !self.permits.has_requester(now.at, is_slow) {
             return;
         }
@@ -118,10 +118,10 @@
         for chunk in named.chunks(named.len().div_ceil(requests)) {
             let ids = Self::worker_ids(state, chunk);
             let number = self.number();
-            if let Some((requester, question)) =
-                self.permits.request(now.at, number, step, terms, ids)
+            if let Some((requester, request)) =
+                self.permits.request(now.at, number, step, permission, ids)
             {
-                self.effects.push(Effect::Ask(requester, question));
+                self.effects.push(Effect::Ask(requester, request));
             }
         }
     }
@@ -141,15 +141,17 @@
         existing: &HashMap<WorkerKey, u16>,
         is_gang: bool,
     ) -> Selection {
-        let known = self.permits.for_step(step);
-        let Some(known) = known.filter(|k| !k.permitted.is_empty() || !k.denied.is_empty()) else {
+        let step_permits = self.permits.for_step(step);
+        let Some(step_permits) =
+            step_permits.filter(|p| !p.permitted.is_empty() || !p.denied.is_empty())
+        else {
             return Selection::Sample(eligible.to_vec(), wanted * FIRST_REQUEST_SLOTS_PER_TASK);
         };
         let (permitted, others): (Vec<WorkerKey>, Vec<WorkerKey>) = eligible
             .iter()
             .copied()
-            .filter(|key| !known.denied.contains(key))
-            .partition(|key| known.permitted.contains_key(key));
+            .filter(|key| !step_permits.denied.contains(key))
+            .partition(|key| step_permits.permitted.contains_key(key));
         let fitting = targets.find(required, wanted, &permitted, existing);
         if is_gang {
             return self.select_for_gang(
--- a/src/core/plane/lead/channel.rs
+++ b/src/core/plane/lead/channel.rs
@@ -46,8 +46,8 @@
 
     /// Returns the lowest possible reading of the clock now.
     pub fn lower_bound(&self, now: Moment) -> u64 {
-        let passed = now.since(self.at).as_millis() as u64;
-        self.clock_ms + passed - passed / CLOCK_SLOW_DIVISOR
+        let elapsed = now.since(self.at).as_millis() as u64;
+        self.clock_ms + elapsed - elapsed / CLOCK_SLOW_DIVISOR
     }
 }
 
@@ -59,7 +59,7 @@
     /// Whether the task has a response-time target for users of its own.
     pub serving: bool,
     /// Whether the task uses only processor time that others leave idle.
-    pub filling: bool,
+    pub best_effort: bool,
 }
 
 /// Progress of a run, as listed by its worker.
@@ -164,7 +164,7 @@
     /// Number of runs with a response-time target for users of their own.
     pub serving: usize,
     /// Number of runs that use only processor time that others leave idle.
-    pub filling: usize,
+    pub best_effort: usize,
     /// Index that the leader assigned to the rack.
     pub rack: u32,
     /// Resources reserved for planned starts that are not yet committed.
@@ -205,7 +205,7 @@
             unexpected: 0,
             urgent_cpu: 0,
             serving: 0,
-            filling: 0,
+            best_effort: 0,
             rack,
             reserved: Resources::default(),
             failures: 0.0,
@@ -232,7 +232,7 @@
         self.remove(task);
         self.urgent_cpu += live.traits.urgent_cpu;
         self.serving += usize::from(live.traits.serving);
-        self.filling += usize::from(live.traits.filling);
+        self.best_effort += usize::from(live.traits.best_effort);
         self.inherited += usize::from(live.from.is_some());
         self.live.insert(task, live);
     }
@@ -245,7 +245,7 @@
         self.ending -= usize::from(live.ending);
         self.urgent_cpu -= live.traits.urgent_cpu;
         self.serving -= usize::from(live.traits.serving);
-        self.filling -= usize::from(live.traits.filling);
+        self.best_effort -= usize::from(live.traits.best_effort);
         self.inherited -= usize::from(live.from.is_some());
     }
 
@@ -309,8 +309,8 @@
 
     /// Returns the lease expiry for an order sent now, in milliseconds on the worker's
     /// clock, or `None` if that clock is unknown.
-    pub fn lease_end(&mut self, now: Moment, hold: Duration) -> Option<u64> {
-        let until = self.reading?.estimate(now) + hold.as_millis() as u64;
+    pub fn lease_end(&mut self, now: Moment, duration: Duration) -> Option<u64> {
+        let until = self.reading?.estimate(now) + duration.as_millis() as u64;
         self.lease_until = self.lease_until.max(until);
         Some(until)
     }
@@ -326,8 +326,9 @@
 
     /// Returns the current failure score.
     pub fn failures(&self, now: Moment) -> f64 {
-        let halves = now.since(self.failures_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
-        self.failures * 0.5_f64.powf(halves)
+        let half_lives =
+            now.since(self.failures_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        self.failures * 0.5_f64.powf(half_lives)
     }
 
     /// Adds `weight` to the failure score. Returns for how long the worker is excluded
@@ -338,12 +339,12 @@
         if self.failures < FAILURE_SCORE_MAX {
             return None;
         }
-        let wait = (EXCLUSION_MIN * 2_u32.pow(self.exclusions.min(8))).min(EXCLUSION_MAX);
+        let exclusion = (EXCLUSION_MIN * 2_u32.pow(self.exclusions.min(8))).min(EXCLUSION_MAX);
         if now >= self.excluded_until {
             self.exclusions += 1;
         }
-        self.excluded_until = now + wait;
-        Some(wait)
+        self.excluded_until = now + exclusion;
+        Some(exclusion)
     }
 
     /// Records a successful run that took `ratio` times as long as expected.
--- a/src/core/plane/lead/io.rs
+++ b/src/core/plane/lead/io.rs
@@ -416,7 +416,7 @@
 
 /// Record of an order that awaits its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentOrder {
     /// Incarnation that the order was meant for.
     pub worker: WorkerKey,
     /// Task and run number of a start or stop; `None` for an inspection.
@@ -426,5 +426,5 @@
     /// Number up to which an inspection acknowledged ends as committed.
     pub seen: u64,
     /// Time at which the order was sent.
-    pub at: crate::core::time::Moment,
+    pub sent_at: crate::core::time::Moment,
 }
--- a/src/core/plane/lead/mod.rs
+++ b/src/core/plane/lead/mod.rs
@@ -71,25 +71,32 @@
     since: Moment,
     bounds: Bounds,
     channels: BTreeMap<WorkerKey, Channel>,
-    /// Runs with the worker that may have them, ordered by task.
-    places: BTreeSet<(TaskName, WorkerKey)>,
+    /// Tasks with the workers that may have a run of them, ordered by task.
+    assignments: BTreeSet<(TaskName, WorkerKey)>,
     racks: HashMap<String, u32>,
     runs_checked_at: Moment,
     permits: Permits,
-    sent: HashMap<u64, io::Sent>,
+    /// Orders that await their replies, by number.
+    sent_orders: HashMap<u64, io::SentOrder>,
     next_number: u64,
     /// Tasks whose start is proposed and not yet committed.
     uncommitted_starts: HashMap<TaskName, WorkerKey>,
+    /// Number of uncommitted starts of each step.
     uncommitted_step_starts: HashMap<StepName, u16>,
+    /// Resources counted towards the cap for uncommitted starts, by account.
     uncommitted_usage: HashMap<u32, Resources>,
+    /// Capacity, resources counted towards the cap, and account of each uncommitted start.
     reservations: HashMap<TaskName, (Resources, Resources, Option<u32>)>,
+    /// Jobs whose cancellation is proposed and not yet committed.
     cancelling: HashSet<JobId>,
     submitting: HashMap<JobId, Vec<Call>>,
     /// Ends of runs to propose in the next round.
     ends: Vec<End>,
     /// Moving average of run times relative to estimates, by queue name.
     ratios: HashMap<String, f64>,
-    urgent_use: f64,
+    /// Recent peak of the processor time taken by urgent work, in thousandths of a core.
+    urgent_cpu_peak: f64,
+    /// Whether anything that planning depends on has changed since the latest round.
     dirty: bool,
     planned_at: Moment,
     /// Interval until the next planning round, from the work of the latest one.
@@ -106,11 +113,11 @@
             since: now.at,
             bounds,
             channels: BTreeMap::new(),
-            places: BTreeSet::new(),
+            assignments: BTreeSet::new(),
             racks: HashMap::new(),
             runs_checked_at: Moment::ZERO,
             permits: Permits::default(),
-            sent: HashMap::new(),
+            sent_orders: HashMap::new(),
             next_number: 0,
             uncommitted_starts: HashMap::new(),
             uncommitted_step_starts: HashMap::new(),
@@ -120,7 +127,7 @@
             submitting: HashMap::new(),
             ends: Vec::new(),
             ratios: HashMap::new(),
-            urgent_use: 0.0,
+            urgent_cpu_peak: 0.0,
             dirty: true,
             planned_at: Moment::ZERO,
             plan_pause: PLAN_INTERVAL_MIN,
@@ -140,7 +147,7 @@
                     ..Live::default()
                 };
                 channel.insert(*task, live);
-                lead.places.insert((*task, key));
+                lead.assignments.insert((*task, key));
             }
             lead.channels.insert(key, channel);
         }
@@ -170,14 +177,14 @@
     }
 
     /// Sets the instances that can send permission requests.
-    pub fn set_requesters(&mut self, askers: &[InstanceId]) {
-        self.permits.set_requesters(askers);
+    pub fn set_requesters(&mut self, requesters: &[InstanceId]) {
+        self.permits.set_requesters(requesters);
     }
 
     /// Performs everything that is due: inspections, stops, expiries and planning.
     pub fn tick(&mut self, now: Now, state: &State) -> Vec<Effect> {
-        for finished in self.permits.expire(now.at) {
-            self.note_permission(finished);
+        for completed in self.permits.expire(now.at) {
+            self.note_permission(completed);
             self.dirty = true;
         }
         self.tick_workers(now, state);
@@ -227,8 +234,8 @@
             ),
             Permission::Busy | Permission::NoAnswer => None,
         };
-        if let Some(finished) = self.permits.record_answer(now.at, number, granted) {
-            self.note_permission(finished);
+        if let Some(completed) = self.permits.record_answer(now.at, number, granted) {
+            self.note_permission(completed);
             self.dirty = true;
         }
         self.plan_if_due(now, state);
@@ -266,22 +273,22 @@
     }
 
     fn progressed(&mut self, now: Now, state: &State, ends: &[End], starts: &[Start]) {
-        let mut places = BTreeSet::new();
+        let mut workers = BTreeSet::new();
         for end in ends {
-            places.insert(self.ended(state, end));
+            workers.insert(self.ended(state, end));
         }
-        let broken: BTreeSet<JobId> = ends
+        let interrupted: BTreeSet<JobId> = ends
             .iter()
             .filter(|end| end.how != Termination::Done)
             .map(|end| end.task.step.job)
             .collect();
-        for job in broken {
+        for job in interrupted {
             self.stop_unwanted(now, state, job);
         }
         for start in starts {
             self.started(now, state, *start);
         }
-        for worker in places {
+        for worker in workers {
             self.acknowledge_ends(now, worker);
         }
     }
@@ -318,25 +325,26 @@
         self.effects.push(Effect::Note(note));
     }
 
-    fn note_permission(&mut self, finished: permits::CompletedRequest) {
+    fn note_permission(&mut self, completed: permits::CompletedRequest) {
         self.note(Note::Permission {
-            step: finished.step.to_string(),
-            named: finished.named,
-            granted: finished.granted,
-            took_ms: finished.took.as_millis() as u64,
+            step: completed.step.to_string(),
+            named: completed.named,
+            granted: completed.granted,
+            took_ms: completed.took.as_millis() as u64,
         });
     }
 
     fn plan_if_due(&mut self, now: Now, state: &State) {
-        let passed = now.at.since(self.planned_at);
-        let is_due = self.dirty && passed >= self.plan_pause || passed >= PLAN_INTERVAL_MAX;
+        let elapsed = now.at.since(self.planned_at);
+        let is_due = self.dirty && elapsed >= self.plan_pause || elapsed >= PLAN_INTERVAL_MAX;
         if !is_due {
             return;
         }
         self.dirty = false;
         self.planned_at = now.at;
-        let (starts, work) = self.plan(now, state);
-        self.plan_pause = (PLAN_INTERVAL_MIN + PLAN_PAUSE_PER_ITEM * work).min(PLAN_INTERVAL_MAX);
+        let (starts, examined) = self.plan(now, state);
+        self.plan_pause =
+            (PLAN_INTERVAL_MIN + PLAN_PAUSE_PER_ITEM * examined).min(PLAN_INTERVAL_MAX);
         let ends = std::mem::take(&mut self.ends);
         if !starts.is_empty() || !ends.is_empty() {
             let at_ms = now.wall_ms;
--- a/src/core/plane/lead/order.rs
+++ b/src/core/plane/lead/order.rs
@@ -27,7 +27,7 @@
     /// Whether the account uses more than its fair share.
     pub over_share: bool,
     /// Latest start that meets the goal, or for late jobs the time at which the result becomes
-    /// worthless, in milliseconds since 1970.
+    /// worthless, in milliseconds since the Unix epoch.
     pub latest_start_ms: i64,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Timing {
     /// When the occurrence was due or, without a due time, the job was accepted, in
-    /// milliseconds since 1970.
+    /// milliseconds since the Unix epoch.
     pub since_ms: u64,
     /// Estimated run time of the critical path, in milliseconds.
     pub critical_path_ms: f64,
@@ -60,7 +60,7 @@
     pub goal_ms: u64,
 }
 
-/// Ranks a step at the wall-clock time `wall_ms`, in milliseconds since 1970.
+/// Ranks a step at the wall-clock time `wall_ms`, in milliseconds since the Unix epoch.
 pub fn rank(wall_ms: u64, timing: Timing, priority: u32, over_share: bool) -> Rank {
     let goal = timing.stretch.max(1.0) * timing.critical_path_ms + timing.goal_ms as f64;
     let elapsed = wall_ms as f64 - timing.since_ms as f64;
--- a/src/core/plane/lead/permits.rs
+++ b/src/core/plane/lead/permits.rs
@@ -115,8 +115,8 @@
 
 /// Returns the number of workers to name in the first request of a step. Their cost is at
 /// most a set share of the fixed cost of the request.
-pub fn batch_size(terms: Permission, gang: bool) -> usize {
-    if terms.each_ms <= 0.0 {
+pub fn batch_size(permission: Permission, gang: bool) -> usize {
+    if permission.each_ms <= 0.0 {
         return WORKERS_PER_REQUEST_MAX;
     }
     let share = if gang {
@@ -124,14 +124,14 @@
     } else {
         WORKER_COST_SHARE
     };
-    let affordable = terms.decide_ms * share / terms.each_ms;
+    let affordable = permission.decide_ms * share / permission.each_ms;
     (affordable as usize).clamp(WORKERS_PER_REQUEST_MIN, WORKERS_PER_REQUEST_MAX)
 }
 
 /// Returns the expected duration of a request that names `named` workers.
-pub fn expected_duration(terms: Permission, named: usize) -> Duration {
-    let millis = terms.decide_ms + terms.each_ms * named as f64;
-    Duration::from_micros((millis * 1_000.0) as u64)
+pub fn expected_duration(permission: Permission, named: usize) -> Duration {
+    let duration_ms = permission.decide_ms + permission.each_ms * named as f64;
+    Duration::from_micros((duration_ms * 1_000.0) as u64)
 }
 
 impl Permits {
@@ -235,13 +235,13 @@
         now: Moment,
         number: u64,
         step: StepName,
-        terms: Permission,
+        permission: Permission,
         named: Vec<(WorkerKey, String)>,
     ) -> Option<(InstanceId, PermissionRequest)> {
         if named.is_empty() {
             return None;
         }
-        let cost = expected_duration(terms, named.len().min(WORKERS_PER_REQUEST_MAX));
+        let cost = expected_duration(permission, named.len().min(WORKERS_PER_REQUEST_MAX));
         let is_slow = cost >= SLOW_REQUEST_MIN;
         let requester = self.choose_requester(now, is_slow)?;
         let entry = self.requesters.get_mut(&requester)?;
@@ -259,17 +259,17 @@
                 workers: keys,
                 sent_at: now,
                 times_out_at: now + timeout,
-                validity: Duration::from_millis(terms.valid_ms),
+                validity: Duration::from_millis(permission.valid_ms),
                 is_slow,
             },
         );
-        let question = PermissionRequest {
+        let request = PermissionRequest {
             number,
             step,
             workers,
             timeout_ms: timeout.as_millis() as u64,
         };
-        Some((requester, question))
+        Some((requester, request))
     }
 
     // Chooses the instance that can send a request first. Slow requests are not queued, and
@@ -310,7 +310,7 @@
         }
         let step_permits = self.steps.entry(request.step).or_default();
         step_permits.in_flight = step_permits.in_flight.saturating_sub(1);
-        let finished = CompletedRequest {
+        let completed = CompletedRequest {
             step: request.step,
             named: request.workers.len(),
             granted: granted.as_ref().map(Vec::len),
@@ -321,7 +321,7 @@
             if let Some(requester) = self.requesters.get_mut(&request.requester) {
                 requester.busy_until = requester.busy_until.max(now + REQUESTER_PAUSE);
             }
-            return Some(finished);
+            return Some(completed);
         };
         let lifetime = request.validity.saturating_sub(PERMIT_MARGIN);
         for worker in &request.workers {
@@ -336,7 +336,7 @@
                 .permitted
                 .insert(worker, Permit { text, expires_at });
         }
-        Some(finished)
+        Some(completed)
     }
 
     /// Fails the requests that have reached their timeout.
--- a/src/core/plane/lead/place.rs
+++ b/src/core/plane/lead/place.rs
@@ -43,7 +43,7 @@
     /// Free capacity for work that is not urgent: excludes the reserves for urgent work and
     /// for waiting gangs, and is negative if they exceed what is free.
     pub free_non_urgent: Resources,
-    /// Number of the worker's rack.
+    /// Index that the leader assigned to the rack.
     pub rack: u32,
     /// Run time as a multiple of the expected run time.
     pub slowness: f64,
@@ -314,7 +314,7 @@
     }
 }
 
-// Returns how many tasks fit in `room` if all of it is free.
+// Returns how many tasks fit in `capacity` if all of it is free.
 fn fit_count_in(capacity: &Resources, required: &Requirement) -> usize {
     let part = |total: i64, each: i64| if each > 0 { total / each } else { i64::MAX };
     let max = part(capacity.cpu, required.resources.cpu)
--- a/src/core/plane/lead/plan.rs
+++ b/src/core/plane/lead/plan.rs
@@ -91,36 +91,36 @@
     }
 
     fn waiting_steps(&self, now: Now, state: &State) -> Vec<PendingStep> {
-        let over = over_share(state);
+        let is_over_share = over_share(state);
         let mut waiting = Vec::new();
         for id in &state.open {
             let job = &state.jobs[id];
             let queue = state.queue(job.queue);
-            let over_share = job.account.is_some_and(|a| over[a.0 as usize]);
-            for (k, steps) in job.occurrences.iter().enumerate() {
-                let due_ms = job.submission.due_ms(k as u32);
+            let over_share = job.account.is_some_and(|a| is_over_share[a.0 as usize]);
+            for (occurrence, steps) in job.occurrences.iter().enumerate() {
+                let due_ms = job.submission.due_ms(occurrence as u32);
                 if due_ms.is_some_and(|due| due > now.wall_ms) {
                     break;
                 }
-                for (at, step) in steps.iter().enumerate() {
+                for (index, step) in steps.iter().enumerate() {
                     let name = StepName {
                         job: *id,
-                        occurrence: k as u32,
-                        step: at as u16,
+                        occurrence: occurrence as u32,
+                        step: index as u16,
                     };
-                    let placing = self
+                    let starting = self
                         .uncommitted_step_starts
                         .get(&name)
                         .copied()
                         .unwrap_or(0);
-                    let count = step.waiting().saturating_sub(usize::from(placing));
-                    if count == 0 || step.aborting || !job.is_unblocked(k, at) {
+                    let count = step.waiting().saturating_sub(usize::from(starting));
+                    if count == 0 || step.aborting || !job.is_unblocked(occurrence, index) {
                         continue;
                     }
-                    let rank = if job.submission.steps[at].long_running {
+                    let rank = if job.submission.steps[index].long_running {
                         Rank::long_running(due_ms.unwrap_or(job.accepted_ms))
                     } else {
-                        self.rank(now, job, queue, k, due_ms, over_share)
+                        self.rank(now, job, queue, occurrence, due_ms, over_share)
                     };
                     waiting.push(PendingStep {
                         rank,
@@ -155,7 +155,8 @@
 
     fn targets(&mut self, now: Now, state: &State) -> Targets {
         let urgent: i64 = self.channels.values().map(|c| c.urgent_cpu).sum();
-        self.urgent_use = (self.urgent_use * (1.0 - URGENT_DECAY_PER_ROUND)).max(urgent as f64);
+        self.urgent_cpu_peak =
+            (self.urgent_cpu_peak * (1.0 - URGENT_DECAY_PER_ROUND)).max(urgent as f64);
         let mut targets = Targets::default();
         for (&key, channel) in &self.channels {
             let worker = state.worker(key);
@@ -172,17 +173,17 @@
                 slowness: channel.slowness,
                 failure_score: channel.failures(now.at),
                 serving: channel.serving > 0,
-                best_effort: channel.filling > 0,
+                best_effort: channel.best_effort > 0,
             };
             targets.insert(key, target);
         }
-        let headroom = self.urgent_use * URGENT_MARGIN - urgent as f64;
+        let headroom = self.urgent_cpu_peak * URGENT_MARGIN - urgent as f64;
         targets.reserve_for_urgent(headroom as i64);
         targets
     }
 
-    fn plan_step(&mut self, now: Now, state: &State, waiting: &PendingStep, round: &mut Round) {
-        let name = waiting.step;
+    fn plan_step(&mut self, now: Now, state: &State, pending: &PendingStep, round: &mut Round) {
+        let name = pending.step;
         let job = &state.jobs[&name.job];
         let Some((spec, _)) = job.step(name) else {
             return;
@@ -193,15 +194,15 @@
             .map(|_| self.permits.valid_workers(now.at, name));
         let required = requirement(spec, queue, &self.racks, self.bounds.far_factor);
         if permitted.as_ref().is_some_and(Vec::is_empty) && self.permits.is_waiting(now.at, name) {
-            self.reserve_room(waiting, spec, &required, &[], round);
+            self.reserve_room(pending, spec, &required, &[], round);
             return;
         }
-        let count = self.count_within_cap(state, job, spec, waiting.count);
+        let count = self.count_within_cap(state, job, spec, pending.count);
         let eligible = eligible(state, round, job, spec);
         let allowed = permitted.as_ref().unwrap_or(&eligible);
         let existing = self.tasks_by_worker(state, name, spec);
         let found = round.targets.find(&required, count, allowed, &existing);
-        let is_complete = found.len() == waiting.count;
+        let is_complete = found.len() == pending.count;
         if !spec.gang || is_complete {
             self.start_tasks(state, name, &found, &required, round);
         }
@@ -209,21 +210,21 @@
             return;
         }
         let placed = if spec.gang { 0 } else { found.len() };
-        if let Some(terms) = queue.permission {
+        if let Some(permission) = queue.permission {
             let targets = &round.targets;
-            let wanted = waiting.count - placed;
+            let wanted = pending.count - placed;
             self.request_permits(
-                now, state, name, &required, terms, &eligible, targets, &existing, wanted,
+                now, state, name, &required, permission, &eligible, targets, &existing, wanted,
             );
         }
-        self.reserve_room(waiting, spec, &required, &eligible, round);
+        self.reserve_room(pending, spec, &required, &eligible, round);
     }
 
     // Reserves capacity for a gang that does not fit yet or waits for permits, so that later
     // work does not take it in the meantime.
     fn reserve_room(
         &self,
-        waiting: &PendingStep,
+        pending: &PendingStep,
         spec: &StepSpec,
         required: &Requirement,
         eligible: &[WorkerKey],
@@ -232,12 +233,12 @@
         if !spec.gang || round.reserved_cpu >= round.reserved_cpu_max {
             return;
         }
-        round.reserved_cpu += required.resources.cpu * waiting.count as i64;
-        let allowed = self.permitted_workers(waiting.step, &round.targets);
+        round.reserved_cpu += required.resources.cpu * pending.count as i64;
+        let allowed = self.permitted_workers(pending.step, &round.targets);
         let allowed = allowed.unwrap_or_else(|| eligible.to_vec());
         round
             .reserves
-            .push((required.clone(), waiting.count, allowed));
+            .push((required.clone(), pending.count, allowed));
     }
 
     // Returns how many of `count` tasks can start within the account's cap. A gang starts
@@ -433,9 +434,9 @@
     if claimants.is_empty() {
         return Vec::new();
     }
-    let due = divide(total, &claimants);
+    let fair_shares = divide(total, &claimants);
     used.iter()
-        .zip(due)
-        .map(|(used, due)| *used > due)
+        .zip(fair_shares)
+        .map(|(used, fair_share)| *used > fair_share)
         .collect()
 }
--- a/src/core/plane/lead/replies.rs
+++ b/src/core/plane/lead/replies.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 
 use super::channel::{Live, Progress};
-use super::io::{Declined, EndRow, Lists, Note, Reply, RunningRow, Sent};
-use super::workers::{ACKNOWLEDGE_DELAY, ANSWER_TIMEOUT, INSPECT_RETRY};
+use super::io::{Declined, EndRow, Lists, Note, Reply, RunningRow, SentOrder};
+use super::workers::{ACKNOWLEDGE_DELAY, INSPECT_RETRY, REPLY_TIMEOUT};
 use super::{Lead, Now};
 use crate::core::plane::state::{Command, End, State};
 use crate::core::plane::types::{TaskName, Termination, WorkerKey};
 use crate::core::time::Moment;
 
 /// Maximum number of ends in one list; a list of this length may be incomplete.
-const ENDS_MAX: usize = 500;
+const LISTED_ENDS_MAX: usize = 500;
 /// Delay of the next inspection of a worker that needs none: longer than any term lasts
 /// without another reason for one.
 const IDLE_INSPECT_DELAY: Duration = Duration::from_secs(3_600);
 
 impl Lead {
     pub(super) fn process_reply(&mut self, now: Now, state: &State, number: u64, reply: Reply) {
-        let Some(sent) = self.sent.remove(&number) else {
+        let Some(sent) = self.sent_orders.remove(&number) else {
             return;
         };
         let key = sent.worker;
@@ -50,9 +50,9 @@
         channel.inspect_at = now.at + IDLE_INSPECT_DELAY;
     }
 
-    fn order_unanswered(&mut self, now: Now, state: &State, sent: Sent) {
+    fn order_unanswered(&mut self, now: Now, state: &State, sent: SentOrder) {
         let channel = self.channels.get_mut(&sent.worker).expect("known worker");
-        channel.record_unanswered(sent.at);
+        channel.record_unanswered(sent.sent_at);
         let silent_ms = now.at.since(channel.heard_at).as_millis() as u64;
         self.note(Note::OrderLost {
             worker: state.worker(sent.worker).report.id.clone(),
@@ -64,7 +64,7 @@
         &mut self,
         now: Now,
         state: &State,
-        sent: Sent,
+        sent: SentOrder,
         task: TaskName,
         run: u32,
         reply: &Reply,
@@ -110,9 +110,9 @@
         match why {
             Declined::Permit => self.permits.invalidate(task.step, key),
             Declined::Unhealthy | Declined::Malformed => {
-                if let Some(wait) = channel.record_failure(now.at, 1.0) {
+                if let Some(exclusion) = channel.record_failure(now.at, 1.0) {
                     let failures = channel.failures(now.at);
-                    self.note_avoided(state, key, failures, wait);
+                    self.note_avoided(state, key, failures, exclusion);
                 }
             }
             Declined::Room | Declined::Late | Declined::Fence | Declined::Old => {
@@ -127,7 +127,7 @@
         &mut self,
         now: Now,
         state: &State,
-        sent: Sent,
+        sent: SentOrder,
         task: TaskName,
         run: u32,
         reply: &Reply,
@@ -153,7 +153,7 @@
         now: Now,
         state: &State,
         number: u64,
-        sent: Sent,
+        sent: SentOrder,
         reply: Reply,
     ) {
         let key = sent.worker;
@@ -175,9 +175,9 @@
         }
         channel.record_answer(now.at, clock);
         channel.acknowledged_end = channel.acknowledged_end.max(sent.seen);
-        let first = !channel.adopted;
+        let is_first = !channel.adopted;
         channel.adopted = true;
-        if first {
+        if is_first {
             let note = Note::WorkerAdopted {
                 worker: state.worker(key).report.id.clone(),
                 fence: self.fence,
@@ -185,7 +185,7 @@
             };
             self.note(note);
         }
-        self.process_lists(now, state, key, sent.at, first, &lists);
+        self.process_lists(now, state, key, sent.sent_at, is_first, &lists);
         self.dirty = true;
         self.schedule_inspection(now, key);
     }
@@ -195,7 +195,7 @@
         let has_uncommitted_ends = channel.has_uncommitted_ends();
         channel.inspect_at = if has_uncommitted_ends {
             // Rescheduled earlier once the ends are committed.
-            now.at + ANSWER_TIMEOUT
+            now.at + REPLY_TIMEOUT
         } else if !channel.live().is_empty() {
             now.at
         } else if channel.unexpected > 0 {
@@ -214,7 +214,7 @@
         state: &State,
         key: WorkerKey,
         sent_at: Moment,
-        first: bool,
+        is_first: bool,
         lists: &Lists,
     ) {
         let mut unexpected = 0;
@@ -226,8 +226,8 @@
         for row in &lists.ended {
             self.process_end(now, state, key, row);
         }
-        if lists.ended.len() < ENDS_MAX {
-            self.process_absent(now, state, key, sent_at, first, lists);
+        if lists.ended.len() < LISTED_ENDS_MAX {
+            self.process_absent(now, state, key, sent_at, is_first, lists);
         }
         self.acknowledge_ends(now, key);
     }
@@ -300,10 +300,10 @@
                 let queue = &state.queue(job.queue).name;
                 let estimate = spec.estimate_ms as f64;
                 let ratio = took.map(|took| took / estimate.max(1.0));
-                let whole = task.checkpoint.is_none();
-                if let Some(ratio) = ratio.filter(|_| whole && estimate > 0.0) {
-                    let usual = self.ratios.get(queue).copied().unwrap_or(1.0);
-                    channel.record_success(now.at, ratio / usual);
+                let ran_from_start = task.checkpoint.is_none();
+                if let Some(ratio) = ratio.filter(|_| ran_from_start && estimate > 0.0) {
+                    let average = self.ratios.get(queue).copied().unwrap_or(1.0);
+                    channel.record_success(now.at, ratio / average);
                     self.update_ratio(queue, ratio);
                 } else {
                     channel.record_success(now.at, 1.0);
@@ -312,9 +312,9 @@
             // Only the first failure of a task counts against its worker. Repeated
             // failures are assumed to be the task's fault.
             Termination::Failed if task.failed == 0 => {
-                if let Some(wait) = channel.record_failure(now.at, 1.0) {
+                if let Some(exclusion) = channel.record_failure(now.at, 1.0) {
                     let failures = channel.failures(now.at);
-                    self.note_avoided(state, key, failures, wait);
+                    self.note_avoided(state, key, failures, exclusion);
                 }
             }
             _ => {}
@@ -326,12 +326,12 @@
         state: &State,
         key: WorkerKey,
         failures: f64,
-        wait: Duration,
+        exclusion: Duration,
     ) {
         self.note(Note::WorkerAvoided {
             worker: state.worker(key).report.id.clone(),
             failures,
-            for_ms: wait.as_millis() as u64,
+            for_ms: exclusion.as_millis() as u64,
         });
     }
 
@@ -342,7 +342,7 @@
         state: &State,
         key: WorkerKey,
         sent_at: Moment,
-        first: bool,
+        is_first: bool,
         lists: &Lists,
     ) {
         let channel = &self.channels[&key];
@@ -363,7 +363,7 @@
             }
             // The fencing token of a term's first inspection invalidates all orders sent
             // before it.
-            let fenced = first && live.from.is_none();
+            let fenced = is_first && live.from.is_none();
             if fenced || before(live.confirmed_at) || before(live.stopped_at) {
                 voids.push((task, live.run));
             } else if live.in_doubt && live.stop_at.is_none() {
--- a/src/core/plane/lead/workers.rs
+++ b/src/core/plane/lead/workers.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use super::channel::{Channel, Live, Traits};
-use super::io::{Effect, Note, Order, Sent, Work};
+use super::io::{Effect, Note, Order, SentOrder, Work};
 use super::{Lead, Now};
 use crate::core::plane::job::{Phase, Status};
 use crate::core::plane::state::{Command, End, Start, State};
 use crate::core::plane::types::{JobId, StepName, TaskName, Termination, WorkerKey};
 
 /// Maximum time that a worker delays its reply to an inspection until a run ends. Each
-/// inspection renews the lease, so a worker that is cut off keeps its runs for the lease
+/// inspection renews the lease, so an unreachable worker keeps its runs for the lease
 /// less this time.
 const INSPECT_WAIT: Duration = Duration::from_millis(800);
 /// Time to wait for a reply beyond the requested delay: a hundred round trips.
-pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+pub(super) const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 /// Delay before a worker that did not reply is inspected again.
 pub(super) const INSPECT_RETRY: Duration = Duration::from_millis(250);
 /// Delay of the first inspection after a start, so that consecutive starts share it.
@@ -24,24 +24,24 @@
 /// Interval at which an unanswered stop is repeated.
 const STOP_RETRY: Duration = Duration::from_millis(400);
 /// Time after which a worker that announced its shutdown counts as gone.
-const DEPART_AFTER: Duration = Duration::from_millis(400);
+const DEPARTURE_DELAY: Duration = Duration::from_millis(400);
 /// A run without progress for this long is stopped and started elsewhere: three
 /// inspections. Workers report whole percentages, so longer runs get more time.
 const STUCK_MIN: Duration = Duration::from_millis(2_500);
 /// Maximum time without progress for a gang member at 0 %: members make no progress
 /// before all of them have started.
-const STUCK_GANG: Duration = Duration::from_millis(4_500);
+const STUCK_GANG_MIN: Duration = Duration::from_millis(4_500);
 /// Fraction of the estimated run time for which a run may be without progress.
 const STUCK_SHARE: f64 = 0.1;
 /// Weight of a stuck run in the failure score: high enough to exclude the worker from
 /// placement at once.
-const STUCK_WEIGHT: f64 = 2.0;
+const STUCK_FAILURE_WEIGHT: f64 = 2.0;
 /// Interval at which runs are checked for unanswered stops and for progress.
-const CHECK_RUNS_EVERY: Duration = Duration::from_millis(100);
+const RUN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Lead {
     pub(super) fn tick_workers(&mut self, now: Now, state: &State) {
-        let check_runs = now.at.since(self.runs_checked_at) >= CHECK_RUNS_EVERY;
+        let check_runs = now.at.since(self.runs_checked_at) >= RUN_CHECK_INTERVAL;
         if check_runs {
             self.runs_checked_at = now.at;
         }
@@ -55,7 +55,7 @@
             }
             let departs = channel
                 .departing
-                .is_some_and(|at| now.at.since(at) > DEPART_AFTER);
+                .is_some_and(|at| now.at.since(at) > DEPARTURE_DELAY);
             if departs && !worker.departed {
                 channel.departing = Some(now.at + Duration::from_secs(2));
                 self.propose(Command::Depart(key), Vec::new());
@@ -102,7 +102,7 @@
         }
         let channel = self.channels.get_mut(&key).expect("known worker");
         if stuck > 0
-            && let Some(wait) = channel.record_failure(now.at, STUCK_WEIGHT)
+            && let Some(wait) = channel.record_failure(now.at, STUCK_FAILURE_WEIGHT)
         {
             let failures = channel.failures(now.at);
             self.note_avoided(state, key, failures, wait);
@@ -112,7 +112,14 @@
         }
     }
 
-    fn order(&mut self, now: Now, state: &State, key: WorkerKey, sent: Sent, work: Work) -> u64 {
+    fn order(
+        &mut self,
+        now: Now,
+        state: &State,
+        key: WorkerKey,
+        sent: SentOrder,
+        work: Work,
+    ) -> u64 {
         let number = self.number();
         let wait = match &work {
             Work::Inspect { wait, .. } => *wait,
@@ -124,23 +131,29 @@
             worker: report.id.clone(),
             address: report.address.clone(),
             fence: self.fence,
-            timeout: wait + ANSWER_TIMEOUT,
+            timeout: wait + REPLY_TIMEOUT,
             task: work,
         };
-        self.sent.insert(number, Sent { at: now.at, ..sent });
+        self.sent_orders.insert(
+            number,
+            SentOrder {
+                sent_at: now.at,
+                ..sent
+            },
+        );
         self.effects.push(Effect::Order(order));
         number
     }
 
     fn inspect(&mut self, now: Now, state: &State, key: WorkerKey) {
-        let hold = self.bounds.max_lease;
+        let lease = self.bounds.max_lease;
         let channel = self.channels.get_mut(&key).expect("known worker");
         // An unresponsive worker may still receive orders. Its lease is not renewed, so
         // that its runs expire and can start elsewhere.
         let until = if channel.is_unresponsive(now.at) || channel.live().is_empty() {
             None
         } else {
-            channel.lease_end(now.at, hold)
+            channel.lease_end(now.at, lease)
         };
         let is_idle = channel.live().is_empty();
         let wait = if channel.adopted && !is_idle && channel.unanswered_since.is_none() {
@@ -156,12 +169,12 @@
         } else {
             0
         };
-        let sent = Sent {
+        let sent = SentOrder {
             worker: key,
             run: None,
             is_start: false,
             seen,
-            at: now.at,
+            sent_at: now.at,
         };
         let number = self.order(now, state, key, sent, Work::Inspect { until, seen, wait });
         let channel = self.channels.get_mut(&key).expect("known worker");
@@ -171,8 +184,8 @@
     pub(super) fn started(&mut self, now: Now, state: &State, start: Start) {
         let Start { task, run, worker } = start;
         self.unreserve(task);
-        let place = state.worker(worker);
-        let Some(record) = place.runs.get(&task).filter(|r| r.run == run) else {
+        let assigned_worker = state.worker(worker);
+        let Some(record) = assigned_worker.runs.get(&task).filter(|r| r.run == run) else {
             return;
         };
         let Some(channel) = self.channels.get_mut(&worker) else {
@@ -186,10 +199,10 @@
         };
         let job = &state.jobs[&task.step.job];
         channel.insert(task, live);
-        self.places.insert((task, worker));
+        self.assignments.insert((task, worker));
         let wanted = state.is_wanted(worker, task, run);
         let until = channel.lease_end(now.at, self.bounds.max_lease);
-        let (Some(until), true, false) = (until, wanted, place.departed) else {
+        let (Some(until), true, false) = (until, wanted, assigned_worker.departed) else {
             self.end_as_void(state, worker, task, run, "not sent");
             return;
         };
@@ -212,15 +225,15 @@
         self.note(Note::Placed {
             task: task.to_string(),
             run,
-            worker: place.report.id.clone(),
+            worker: assigned_worker.report.id.clone(),
             waited_ms: now.wall_ms.saturating_sub(job.accepted_ms),
         });
-        let sent = Sent {
+        let sent = SentOrder {
             worker,
             run: Some((task, run)),
             is_start: true,
             seen: 0,
-            at: now.at,
+            sent_at: now.at,
         };
         self.order(now, state, worker, sent, work);
     }
@@ -245,12 +258,12 @@
             worker: state.worker(key).report.id.clone(),
             why,
         });
-        let sent = Sent {
+        let sent = SentOrder {
             worker: key,
             run: Some((task, run)),
             is_start: false,
             seen: 0,
-            at: now.at,
+            sent_at: now.at,
         };
         self.order(now, state, key, sent, Work::Stop { task, run });
     }
@@ -265,13 +278,13 @@
             },
             index: 0,
         };
-        let places: Vec<(TaskName, WorkerKey)> = self
-            .places
+        let assigned: Vec<(TaskName, WorkerKey)> = self
+            .assignments
             .range((first, WorkerKey(0))..)
             .take_while(|(task, _)| task.step.job == job)
             .copied()
             .collect();
-        for (task, key) in places {
+        for (task, key) in assigned {
             let found = self.channels.get(&key).and_then(|c| c.live().get(&task));
             let Some(live) = found.filter(|l| !l.ending && l.stop_at.is_none()) else {
                 continue;
@@ -342,20 +355,20 @@
         if records.get(&end.task).is_some_and(|r| r.run == end.run) {
             return end.worker;
         }
-        let places: Vec<WorkerKey> = self
-            .places
+        let assigned: Vec<WorkerKey> = self
+            .assignments
             .range((end.task, WorkerKey(0))..)
             .take_while(|(task, _)| *task == end.task)
             .map(|(_, key)| *key)
             .collect();
-        for key in places {
+        for key in assigned {
             let channel = self.channels.get_mut(&key).expect("known worker");
-            let meant = channel
+            let is_match = channel
                 .run_mut(end.task, end.run)
                 .is_some_and(|live| live.from.unwrap_or(key) == end.worker);
-            if meant {
+            if is_match {
                 channel.remove(end.task);
-                self.places.remove(&(end.task, key));
+                self.assignments.remove(&(end.task, key));
                 return key;
             }
         }
@@ -380,7 +393,7 @@
                 .get_mut(&old)
                 .expect("known worker")
                 .remove(task);
-            self.places.remove(&(task, old));
+            self.assignments.remove(&(task, old));
             let channel = self.channels.get_mut(&new).expect("known worker");
             channel.all_ended_by = channel.all_ended_by.max(all_ended_by);
             let inherited = Live {
@@ -391,7 +404,7 @@
                 ..Live::default()
             };
             channel.insert(task, inherited);
-            self.places.insert((task, new));
+            self.assignments.insert((task, new));
             let why = "start order may have reached a later incarnation";
             self.stop(now, state, new, task, live.run, why);
         }
@@ -423,7 +436,7 @@
         let rack = self.rack(worker);
         let created = Channel::new(now.at, now.at, rack);
         self.channels.entry(key).or_insert(created);
-        let gone: Vec<WorkerKey> = state
+        let superseded: Vec<WorkerKey> = state
             .live_workers()
             .filter(|(other, w)| {
                 let same_machine =
@@ -432,7 +445,7 @@
             })
             .map(|(other, _)| other)
             .collect();
-        for other in gone {
+        for other in superseded {
             self.propose(Command::Depart(other), Vec::new());
         }
         let ended: Vec<WorkerKey> = self
@@ -467,12 +480,12 @@
         return false;
     }
     let share = Duration::from_millis((spec.estimate_ms as f64 * STUCK_SHARE) as u64);
-    let least = if spec.gang && progress.percent == 0 {
-        STUCK_GANG
+    let limit = if spec.gang && progress.percent == 0 {
+        STUCK_GANG_MIN
     } else {
         STUCK_MIN
     };
-    progress.stalled_for(now.at, INSPECT_WAIT) > least.max(share)
+    progress.stalled_for(now.at, INSPECT_WAIT) > limit.max(share)
 }
 
 /// Returns how a run affects the placement of other tasks on its worker.
@@ -487,7 +500,7 @@
     Traits {
         urgent_cpu: if is_urgent { cpu } else { 0 },
         serving: spec.target_ms > 0,
-        filling: spec.best_effort,
+        best_effort: spec.best_effort,
     }
 }
 
--- a/src/core/plane/plan.rs
+++ b/src/core/plane/plan.rs
@@ -151,7 +151,7 @@
     /// Returns the first violation found.
     pub fn validate(&self) -> Result<(), Invalid> {
         let services: HashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
-        let mut places = HashSet::new();
+        let mut routes = HashSet::new();
         for queue in &self.queues {
             let known = services.contains(queue.service.as_str());
             ensure!(
@@ -162,7 +162,7 @@
                 }
             );
             ensure!(
-                places.insert((&queue.host, &queue.prefix)),
+                routes.insert((&queue.host, &queue.prefix)),
                 PlaceSnafu {
                     host: &queue.host,
                     prefix: &queue.prefix
@@ -173,8 +173,8 @@
         let mut owners: HashMap<&str, &str> = HashMap::new();
         for account in &self.accounts {
             for key in &account.keys {
-                let former = owners.insert(key, &account.name);
-                if let Some(first) = former.filter(|first| *first != account.name) {
+                let previous = owners.insert(key, &account.name);
+                if let Some(first) = previous.filter(|first| *first != account.name) {
                     return SharedKeySnafu {
                         first,
                         second: &account.name,
--- a/src/core/plane/state.rs
+++ b/src/core/plane/state.rs
@@ -188,11 +188,11 @@
         }
     }
 
-    fn configure(&mut self, plan: Config, document: Vec<u8>) {
-        if plan.version <= self.config.version {
+    fn configure(&mut self, config: Config, document: Vec<u8>) {
+        if config.version <= self.config.version {
             return;
         }
-        for queue in &plan.queues {
+        for queue in &config.queues {
             if !self.queues.contains(queue) {
                 self.queues.push(queue.clone());
             }
@@ -200,31 +200,31 @@
         for account in &mut self.accounts {
             account.keys.clear();
         }
-        for account in &plan.accounts {
+        for account in &config.accounts {
             match self.accounts.iter_mut().find(|a| a.name == account.name) {
-                Some(known) => *known = account.clone(),
+                Some(existing) => *existing = account.clone(),
                 None => self.accounts.push(account.clone()),
             }
         }
         self.account_usage
             .resize(self.accounts.len(), Resources::default());
-        self.config = plan;
+        self.config = config;
         self.document = document;
     }
 
     fn register(&mut self, report: Report) {
         if let Some(&key) = self.worker_keys.get(&report.id) {
-            let known = &mut self.workers[key.0 as usize];
-            if known.report.born_ms == report.born_ms {
+            let existing = &mut self.workers[key.0 as usize];
+            if existing.report.born_ms == report.born_ms {
                 // Draining is permanent within an incarnation.
-                let draining = known.report.draining || report.draining;
-                known.report = Report { draining, ..report };
+                let draining = existing.report.draining || report.draining;
+                existing.report = Report { draining, ..report };
                 return;
             }
-            if !report.is_later(&known.report) {
+            if !report.is_later(&existing.report) {
                 return;
             }
-            known.departed = true;
+            existing.departed = true;
         }
         let key = WorkerKey(self.workers.len() as u32);
         self.worker_keys.insert(report.id.clone(), key);
@@ -267,14 +267,14 @@
         }
     }
 
-    fn finish(&mut self, id: JobId, standing: Status, at_ms: u64) {
+    fn finish(&mut self, id: JobId, status: Status, at_ms: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         if job.status.is_final() {
             return;
         }
-        job.status = standing;
+        job.status = status;
         job.trim();
         self.open.remove(&id);
         self.ended.push_back((at_ms, id));
@@ -282,13 +282,13 @@
 
     fn start(&mut self, start: Start) {
         let Start { task, run, worker } = start;
-        let Some(place) = self.workers.get_mut(worker.0 as usize) else {
+        let Some(assigned_worker) = self.workers.get_mut(worker.0 as usize) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             return;
         };
-        if place.departed || job.status.is_final() {
+        if assigned_worker.departed || job.status.is_final() {
             return;
         }
         let Some(spec) = job.submission.steps.get(usize::from(task.step.step)) else {
@@ -315,22 +315,26 @@
         if job.status == Status::Queued {
             job.status = Status::Running;
         }
-        place.used += record.room;
+        assigned_worker.used += record.room;
         if let Some(account) = record.account {
             self.account_usage[account.0 as usize] += record.need;
         }
-        place.runs.insert(task, record);
+        assigned_worker.runs.insert(task, record);
     }
 
     fn end(&mut self, end: End, at_ms: u64) {
-        let Some(place) = self.workers.get_mut(end.worker.0 as usize) else {
+        let Some(assigned_worker) = self.workers.get_mut(end.worker.0 as usize) else {
             return;
         };
-        if place.runs.get(&end.task).is_none_or(|r| r.run != end.run) {
+        if assigned_worker
+            .runs
+            .get(&end.task)
+            .is_none_or(|r| r.run != end.run)
+        {
             return;
         }
-        if let Some(record) = place.runs.remove(&end.task) {
-            place.used -= record.room;
+        if let Some(record) = assigned_worker.runs.remove(&end.task) {
+            assigned_worker.used -= record.room;
             if let Some(account) = record.account {
                 self.account_usage[account.0 as usize] -= record.need;
             }
@@ -351,7 +355,7 @@
         let Some(spec) = job.submission.steps.get(usize::from(end.task.step.step)) else {
             return;
         };
-        let (gang, lasting) = (spec.gang, spec.long_running);
+        let (gang, long_running) = (spec.gang, spec.long_running);
         let Some(step) = step_mut(&mut job.occurrences, end.task) else {
             return;
         };
@@ -370,7 +374,7 @@
                 task.checkpoint = Some(saved);
             }
         }
-        let done = end.how == Termination::Done && !lasting;
+        let done = end.how == Termination::Done && !long_running;
         if gang && done {
             for task in &mut step.tasks {
                 task.phase = Phase::Done;
@@ -383,7 +387,7 @@
         }
         let mut failed = false;
         if end.how == Termination::Failed {
-            failed = count_failure(step, index, gang, end.run, attempts) && !lasting;
+            failed = count_failure(step, index, gang, end.run, attempts) && !long_running;
         }
         if gang && !done {
             step.aborting = step.placed > 0;
--- a/src/core/plane/types.rs
+++ b/src/core/plane/types.rs
@@ -156,12 +156,12 @@
 
 /// Maximum of each resource of a task or worker. Sums over a fleet and all its tasks stay
 /// within 64 bits.
-const AMOUNT_MAX: i64 = 1 << 40;
+const RESOURCE_MAX: i64 = 1 << 40;
 
 impl Resources {
     /// Returns whether no resource is negative or above the maximum.
     pub fn is_in_range(&self) -> bool {
-        let range = 0..=AMOUNT_MAX;
+        let range = 0..=RESOURCE_MAX;
         range.contains(&self.cpu)
             && range.contains(&self.memory)
             && range.contains(&self.accelerators)
--- a/tests/absurd.rs
+++ b/tests/absurd.rs
@@ -102,10 +102,10 @@
             let change: fn(&mut Report) = $change;
             change(&mut report);
             let id = report.id.clone();
-            let sound = (0..1 << 40).contains(&report.capacity.cpu);
+            let is_valid = (0..1 << 40).contains(&report.capacity.cpu);
             cell.query(Query::Report(Box::new(report)));
             cell.run_for(500);
-            assert_eq!(cell.state.worker_keys.contains_key(&id), sound);
+            assert_eq!(cell.state.worker_keys.contains_key(&id), is_valid);
             assert_serves(&mut cell);
         })*
     };
@@ -114,8 +114,8 @@
 reports! {
     an_extreme_capacity: |r| r.capacity = uniform(i64::MAX);
     a_negative_capacity: |r| r.capacity = uniform(i64::MIN);
-    the_latest_birth: |r| r.born_ms = u64::MAX;
-    the_earliest_birth: |r| r.born_ms = 0;
+    the_latest_start_time: |r| r.born_ms = u64::MAX;
+    the_earliest_start_time: |r| r.born_ms = 0;
     the_last_sequence_number: |r| r.sequence = u64::MAX;
     an_empty_id: |r| { r.id = String::new(); r.address = String::new(); };
     an_invalid_address: |r| r.address = "nowhere".to_owned();
--- a/tests/lasting.rs
+++ b/tests/lasting.rs
@@ -23,7 +23,7 @@
 const GAP_MAX_MS: u64 = 3_000;
 
 // Returns a fleet with permits on one worker of three.
-fn cell(seed: u64, workers: usize, askers: u64) -> Cell {
+fn cell(seed: u64, workers: usize, requesters: u64) -> Cell {
     let queues = vec![
         queue("urgent", 0, Some(QUICK_PERMISSION)),
         queue("gang", 1, Some(SLOW_PERMISSION)),
@@ -32,7 +32,7 @@
     ];
     let mut cell = Cell::new(seed, workers, queues, Resources::default());
     cell.is_strict = true;
-    cell.requesters = askers;
+    cell.requesters = requesters;
     cell.take_over();
     cell.run_for(500);
     cell
@@ -50,7 +50,7 @@
 // Returns the sorted times in milliseconds that tasks waited for each of their starts,
 // including those of tasks that still wait.
 fn gaps(cell: &Cell) -> Vec<u64> {
-    let open_gaps = cell.away.values().map(|since| cell.now - since);
+    let open_gaps = cell.waiting_since.values().map(|since| cell.now - since);
     let mut gaps: Vec<u64> = cell
         .gaps
         .iter()
@@ -68,7 +68,7 @@
         gaps.last().is_none_or(|gap| *gap <= GAP_MAX_MS),
         "the longest of {} gaps: {longest:?} ms; {} tasks still wait to start",
         gaps.len(),
-        cell.away.len()
+        cell.waiting_since.len()
     );
 }
 
@@ -92,7 +92,7 @@
 // Guards against long-running tasks that wait behind gangs and urgent bursts after a failure.
 // 350 workers run 40 long-running jobs of 20 tasks, a tenth of which fail every 6 s.
 #[test]
-fn lasting_tasks_come_back_beside_gangs_and_bursts() {
+fn long_running_tasks_restart_beside_gangs_and_bursts() {
     let mut cell = cell(2, 350, 33);
     let mut next_id = 1_000;
     for second in 0..30 {
@@ -127,7 +127,7 @@
 // Guards against long-running tasks that are lost when workers crash and restart under the
 // same ids and a new leader takes over in between.
 #[test]
-fn lasting_tasks_come_back_after_a_take_over() {
+fn long_running_tasks_restart_after_a_change_of_leader() {
     let mut cell = cell(3, 60, 13);
     for id in 1..=6 {
         cell.submit("live", id, vec![long_running(10, 2)], 4_000);
--- a/tests/plane.rs
+++ b/tests/plane.rs
@@ -10,12 +10,12 @@
 use plantaincross::core::plane::types::{JobId, Resources, StepName};
 use support::{Cell, Faults, queue, tasks};
 
-const SLOW: Permission = Permission {
+const SLOW_PERMISSION: Permission = Permission {
     decide_ms: 410.0,
     each_ms: 5.9,
     valid_ms: 2_500,
 };
-const QUICK: Permission = Permission {
+const QUICK_PERMISSION: Permission = Permission {
     decide_ms: 9.3,
     each_ms: 0.13,
     valid_ms: 2_500,
@@ -23,8 +23,8 @@
 
 fn cell(seed: u64, workers: usize) -> Cell {
     let queues = vec![
-        queue("urgent", 0, Some(QUICK)),
-        queue("gang", 1, Some(SLOW)),
+        queue("urgent", 0, Some(QUICK_PERMISSION)),
+        queue("gang", 1, Some(SLOW_PERMISSION)),
         queue("batch", 2, None),
     ];
     let mut cell = Cell::new(seed, workers, queues, Resources::default());
@@ -58,7 +58,7 @@
         delayed_per_mille: 20,
         lost_per_mille: 20,
     };
-    let mut next = 1;
+    let mut next_id = 1;
     for second in 0..12_u64 {
         for _ in 0..6 {
             let ms = 200 + cell.draw(2_000);
@@ -79,17 +79,17 @@
             }
             if cell.draw(10) == 0 {
                 let delay = 300 + cell.draw(900);
-                cell.submit_timed(next, steps, ms, delay, 3);
-                next += 1;
+                cell.submit_timed(next_id, steps, ms, delay, 3);
+                next_id += 1;
                 continue;
             }
-            cell.submit(name, next, steps, ms);
+            cell.submit(name, next_id, steps, ms);
             if cell.draw(12) == 0 {
                 let after = cell.draw(150);
                 cell.run_for(after);
-                cell.cancel(name, next);
+                cell.cancel(name, next_id);
             }
-            next += 1;
+            next_id += 1;
             let gap = cell.draw(200);
             cell.run_for(gap);
         }
@@ -133,7 +133,7 @@
     }
 }
 
-fn per_part() -> u64 {
+fn schedules_per_part() -> u64 {
     let total: u64 = std::env::var("SCHEDULES")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -143,7 +143,7 @@
 
 macro_rules! parts {
     ($($name:ident: $part:expr;)*) => {
-        $(#[test] fn $name() { schedules($part * 1_000_000, per_part()); })*
+        $(#[test] fn $name() { schedules($part * 1_000_000, schedules_per_part()); })*
     };
 }
 
@@ -295,7 +295,7 @@
 
 // An unreachable worker must not be tried again for every task.
 #[test]
-fn an_unreachable_worker_breaks_few_gangs() {
+fn an_unreachable_worker_aborts_few_gangs() {
     let mut cell = cell(8, 12);
     cell.workers[3].unreachable_until = cell.now + 20_000;
     cell.workers[4].unreachable_until = cell.now + 20_000;
@@ -330,8 +330,8 @@
         cell.run_for(400);
     }
     cell.run_for(5_000);
-    let given_up = cell.unfinished().len();
-    assert!(given_up <= 1, "{given_up} of 40 gangs did not complete");
+    let unfinished = cell.unfinished().len();
+    assert!(unfinished <= 1, "{unfinished} of 40 gangs did not complete");
 }
 
 // Gangs of six tasks, which fill two workers, must start in time on 48 workers that later
@@ -345,14 +345,14 @@
     const WAIT_MAX_MS: u64 = 3 * (RUN_MS * 3 / 2 + 250) - RUN_MS;
     let mut cell = cell(11, 48);
     let mut sent = Vec::new();
-    let mut next = 1_000;
+    let mut next_id = 1_000;
     for at in 0..GANGS * 100 {
         // Nine tenths of the fleet: tasks of 8 cores and 1.2 s on average, 136 per
         // second.
         for _ in 0..2 {
             let ms = 400 + cell.draw(1_600);
-            cell.submit("batch", next, vec![tasks(1, 8, ms)], ms);
-            next += 1;
+            cell.submit("batch", next_id, vec![tasks(1, 8, ms)], ms);
+            next_id += 1;
         }
         if at.is_multiple_of(100) {
             let step = StepSpec {
@@ -430,7 +430,7 @@
 // almost half a worker. Half of the fleet is full but for a few cores per worker, which
 // are enough for urgent jobs, so the gang can have two tasks on each empty worker.
 #[test]
-fn room_for_urgent_work_leaves_places_for_large_tasks() {
+fn reserve_for_urgent_jobs_leaves_room_for_large_tasks() {
     const WORKERS: u16 = 12;
     let mut cell = cell(18, usize::from(WORKERS));
     let full = StepSpec {
@@ -532,14 +532,14 @@
     }
     run_jobs(&mut cell, 60, 500);
     cell.run_for(30_000);
-    let standing = |job: &JobId| cell.state.jobs[job].status;
+    let status_of = |job: &JobId| cell.state.jobs[job].status;
     let jobs: Vec<JobId> = (1..=60).map(JobId).collect();
     for expected in [Status::Completed, Status::Failed] {
-        assert!(jobs.iter().any(|job| standing(job) == expected));
+        assert!(jobs.iter().any(|job| status_of(job) == expected));
     }
     for job in &jobs {
         let line = cell.job_outcomes.get(&job.to_string());
-        assert_eq!(line, Some(&standing(job)), "{job}");
+        assert_eq!(line, Some(&status_of(job)), "{job}");
     }
 }
 
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -56,26 +56,26 @@
 // The lease of 6 s outlasts each of these interruptions, in which two to three inspections,
 // one per second, are missed.
 interruptions! {
-    cut_off_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
+    unreachable_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
         cell.workers[0].unreachable_until = cell.now + 4_000;
     };
-    answers_lost_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
+    replies_lost_for_four_seconds: tasks(8, 4, RUN_MS), |cell| {
         cell.workers[0].replies_lost_until = cell.now + 4_000;
     };
-    all_cut_off_at_once: tasks(8, 4, RUN_MS), |cell| {
-        for at in 0..WORKERS {
-            cell.workers[at].unreachable_until = cell.now + 4_000;
+    all_unreachable_at_once: tasks(8, 4, RUN_MS), |cell| {
+        for worker in 0..WORKERS {
+            cell.workers[worker].unreachable_until = cell.now + 4_000;
         }
     };
-    a_gang_cut_off: gang(), |cell| {
+    a_gang_with_an_unreachable_worker: gang(), |cell| {
         cell.workers[0].unreachable_until = cell.now + 4_000;
     };
-    cut_off_twice: tasks(8, 4, RUN_MS), |cell| {
+    unreachable_twice: tasks(8, 4, RUN_MS), |cell| {
         cell.workers[0].unreachable_until = cell.now + 2_900;
         cell.run_for(3_300);
         cell.workers[0].unreachable_until = cell.now + 2_900;
     };
-    cut_off_around_a_take_over: tasks(8, 4, RUN_MS), |cell| {
+    unreachable_around_a_change_of_leader: tasks(8, 4, RUN_MS), |cell| {
         cell.workers[0].unreachable_until = cell.now + 4_000;
         cell.run_for(1_500);
         cell.take_over();
--- a/tests/support/plane.rs
+++ b/tests/support/plane.rs
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug)]
 struct Running {
     run: u32,
-    began: u64,
-    ends: u64,
+    started_at: u64,
+    ends_at: u64,
     fails: bool,
     room: Resources,
 }
@@ -112,7 +112,7 @@
     /// connection and reaches only the incarnation that had the connection.
     Arrive(Box<Order>, u64, Option<u64>),
     /// The wait of an inspection ends at the worker incarnation that received it.
-    Look(Box<Order>, u64, u64),
+    Inspect(Box<Order>, u64, u64),
     Answer(u64, Reply),
     Timeout(u64),
     Commit(u64, Box<Command>, Vec<(Call, Answer)>),
@@ -150,7 +150,7 @@
     pub permission_ms: f64,
     pub first_start: BTreeMap<StepName, u64>,
     /// Long-running tasks that are not on a worker, with the time since when.
-    pub away: BTreeMap<TaskName, u64>,
+    pub waiting_since: BTreeMap<TaskName, u64>,
     /// Time that a long-running task waited, for each of its starts.
     pub gaps: Vec<(TaskName, u64)>,
     /// Workers that have had each task.
@@ -167,11 +167,11 @@
     next_call: u64,
     /// Whether commands were applied since the last check of the jobs.
     has_applied: bool,
-    asker_free: BTreeMap<u64, u64>,
+    requester_free_at: BTreeMap<u64, u64>,
     rng: ChaCha8Rng,
     acknowledged_done: BTreeSet<TaskName>,
     committed_failures: BTreeMap<TaskName, u32>,
-    sizes: BTreeMap<JobId, Vec<StepSpec>>,
+    specs: BTreeMap<JobId, Vec<StepSpec>>,
     durations: BTreeMap<JobId, u64>,
     /// First due time and interval of repeating jobs.
     due: BTreeMap<JobId, (u64, u64)>,
@@ -213,7 +213,7 @@
             is_strict: false,
             permission_ms: 0.0,
             first_start: BTreeMap::new(),
-            away: BTreeMap::new(),
+            waiting_since: BTreeMap::new(),
             gaps: Vec::new(),
             had_by: BTreeMap::new(),
             started: BTreeSet::new(),
@@ -224,11 +224,11 @@
             sequence: 0,
             next_call: 0,
             has_applied: false,
-            asker_free: BTreeMap::new(),
+            requester_free_at: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             acknowledged_done: BTreeSet::new(),
             committed_failures: BTreeMap::new(),
-            sizes: BTreeMap::new(),
+            specs: BTreeMap::new(),
             durations: BTreeMap::new(),
             due: BTreeMap::new(),
             submit_calls: BTreeMap::new(),
@@ -327,8 +327,8 @@
         self.open.clear();
         self.term += 1;
         let mut lead = Lead::new(self.current_time(), self.term, BOUNDS, &self.state);
-        let askers: Vec<InstanceId> = (1..=self.requesters).map(InstanceId).collect();
-        lead.set_requesters(&askers);
+        let requesters: Vec<InstanceId> = (1..=self.requesters).map(InstanceId).collect();
+        lead.set_requesters(&requesters);
         self.lead = Some(lead);
     }
 
@@ -350,7 +350,7 @@
         let now = self.current_time();
         if let Some(lead) = &mut self.lead {
             let effects = lead.handle_query(now, &self.state, Call(call), query);
-            self.carry_out(effects);
+            self.apply_effects(effects);
         }
         call
     }
@@ -388,7 +388,7 @@
 
     fn submit_as(&mut self, queue: &str, id: u64, submission: Submission, ms: u64) {
         let id = JobId(id);
-        self.sizes.insert(id, submission.steps.clone());
+        self.specs.insert(id, submission.steps.clone());
         self.durations.insert(id, ms);
         if submission.repeat > 0 {
             self.due
@@ -404,7 +404,7 @@
                 step,
             };
             let tasks = (0..spec.count).map(|index| (TaskName { step, index }, self.now));
-            self.away.extend(tasks);
+            self.waiting_since.extend(tasks);
         }
         let path = format!("/{queue}/{id}");
         let call = self.request(&path, Action::Submit(Box::new(submission)));
@@ -440,14 +440,14 @@
                 break;
             }
             let event = self.events.remove(&(at, sequence)).expect("first");
-            self.take(event);
+            self.process_event(event);
         }
         let now = self.current_time();
         if let Some(lead) = &mut self.lead
             && self.now.is_multiple_of(5)
         {
             let effects = lead.tick(now, &self.state);
-            self.carry_out(effects);
+            self.apply_effects(effects);
         }
         self.check();
     }
@@ -458,7 +458,7 @@
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Propose(command, answers) => {
@@ -469,8 +469,8 @@
                     self.answers.insert(call.0, answer);
                 }
                 Effect::Order(order) => self.send(order),
-                Effect::Ask(asker, question) => self.ask(asker.0, &question),
-                Effect::Note(note) => self.take_note(note),
+                Effect::Ask(requester, request) => self.request_permits(requester.0, &request),
+                Effect::Note(note) => self.record_note(note),
             }
         }
     }
@@ -514,7 +514,7 @@
         }
     }
 
-    fn take_note(&mut self, note: Note) {
+    fn record_note(&mut self, note: Note) {
         match note {
             Note::Ended { worker, .. } => {
                 let is_known = self.state.worker_keys.contains_key(&worker);
@@ -526,43 +526,43 @@
         }
     }
 
-    fn record_job_outcome(&mut self, job: &str, standing: Status) {
-        let before = self.job_outcomes.insert(job.to_owned(), standing);
+    fn record_job_outcome(&mut self, job: &str, status: Status) {
+        let before = self.job_outcomes.insert(job.to_owned(), status);
         assert_eq!(before, None, "the end of job {job} was logged twice");
     }
 
-    fn ask(&mut self, asker: u64, question: &PermissionRequest) {
-        let cost = self.cost(question);
+    fn request_permits(&mut self, requester: u64, request: &PermissionRequest) {
+        let cost = self.cost(request);
         self.permission_requests += 1;
         self.permission_ms += cost as f64;
         let free = self
-            .asker_free
-            .get(&asker)
+            .requester_free_at
+            .get(&requester)
             .copied()
             .unwrap_or(0)
             .max(self.now)
             + cost;
-        self.asker_free.insert(asker, free);
+        self.requester_free_at.insert(requester, free);
         // Two workers in three may run a step, or one in three if strict.
-        let granted = question
+        let granted = request
             .workers
             .iter()
-            .filter(|id| is_permitted(question.step, id) != self.is_strict)
+            .filter(|id| is_permitted(request.step, id) != self.is_strict)
             .map(|id| (id.clone(), "permit".to_owned()))
             .collect();
         let after = free - self.now + 2 * NETWORK_DELAY_MS;
-        let event = Event::Permit(self.term, question.number, Permission::Granted(granted));
+        let event = Event::Permit(self.term, request.number, Permission::Granted(granted));
         self.schedule(after, event);
     }
 
-    fn cost(&self, question: &PermissionRequest) -> u64 {
-        let queue = &self.state.jobs.get(&question.step.job).map(|job| job.queue);
-        let terms = queue.and_then(|key| self.state.queue(key).permission);
-        let terms = terms.unwrap_or_default();
-        (terms.decide_ms + terms.each_ms * question.workers.len() as f64) as u64
+    fn cost(&self, request: &PermissionRequest) -> u64 {
+        let queue = &self.state.jobs.get(&request.step.job).map(|job| job.queue);
+        let permission = queue.and_then(|key| self.state.queue(key).permission);
+        let permission = permission.unwrap_or_default();
+        (permission.decide_ms + permission.each_ms * request.workers.len() as f64) as u64
     }
 
-    fn take(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         let now = self.current_time();
         match event {
             Event::Arrive(order, at, incarnation) => {
@@ -571,9 +571,9 @@
                     self.arrive(&order, at, incarnation.is_some());
                 }
             }
-            Event::Look(order, at, incarnation) => {
+            Event::Inspect(order, at, incarnation) => {
                 if incarnation == self.workers[at as usize].born_at {
-                    self.answer_look(&order, at as usize);
+                    self.answer_inspection(&order, at as usize);
                 }
             }
             Event::Answer(key, reply) => {
@@ -583,10 +583,10 @@
                 let number = key & ((1 << 40) - 1);
                 if let Some(lead) = &mut self.lead {
                     let effects = lead.handle_reply(now, &self.state, number, reply);
-                    self.carry_out(effects);
+                    self.apply_effects(effects);
                 }
             }
-            Event::Timeout(key) => self.take(Event::Answer(key, Reply::NoAnswer)),
+            Event::Timeout(key) => self.process_event(Event::Answer(key, Reply::NoAnswer)),
             Event::Commit(term, command, answers) => {
                 self.record_failures(&command);
                 self.state.apply((*command).clone());
@@ -598,7 +598,7 @@
                     && let Some(lead) = &mut self.lead
                 {
                     let effects = lead.handle_applied(now, &self.state, &command);
-                    self.carry_out(effects);
+                    self.apply_effects(effects);
                 }
             }
             Event::Permit(term, number, permission) => {
@@ -606,7 +606,7 @@
                     && let Some(lead) = &mut self.lead
                 {
                     let effects = lead.handle_permission(now, &self.state, number, permission);
-                    self.carry_out(effects);
+                    self.apply_effects(effects);
                 }
             }
         }
@@ -648,7 +648,7 @@
             return;
         }
         let clock = self.workers[at].clock(self.now);
-        let most = clock + BOUNDS.max_lease.as_millis() as u64;
+        let lease_max = clock + BOUNDS.max_lease.as_millis() as u64;
         let fenced = order.fence < self.workers[at].fence;
         let worker = &mut self.workers[at];
         worker.fence = worker.fence.max(order.fence);
@@ -666,7 +666,7 @@
                 let reply = if fenced {
                     Reply::Declined(Declined::Fence)
                 } else {
-                    self.start(at, *task, *run, (*until).min(most), clock)
+                    self.start(at, *task, *run, (*until).min(lease_max), clock)
                 };
                 self.reply(order, at, reply);
             }
@@ -677,13 +677,13 @@
                     let found = worker.runs[task].run;
                     worker.end(*task, found, Termination::Stopped);
                     self.stops += 1;
-                    self.note_away(*task);
+                    self.record_waiting(*task);
                 }
                 self.reply(order, at, Reply::Done(clock));
             }
             Work::Inspect { until, seen, wait } if !fenced => {
                 if let Some(until) = until {
-                    worker.deadline = worker.deadline.max((*until).min(most));
+                    worker.deadline = worker.deadline.max((*until).min(lease_max));
                 }
                 // An end that preceded a lease expiry may be unknown to the leader when
                 // it is acknowledged.
@@ -698,17 +698,17 @@
                 } else {
                     0
                 };
-                // An inspection is answered when its wait is over or a run ends.
-                let first = worker.runs.values().map(|r| r.ends).min();
-                let until_end = first.map_or(wait, |ends| ends.saturating_sub(self.now) + 1);
-                let event = Event::Look(Box::new(order.clone()), at as u64, worker.born_at);
+                // An inspection is answered when its wait ends or a run ends.
+                let first = worker.runs.values().map(|r| r.ends_at).min();
+                let until_end = first.map_or(wait, |ends_at| ends_at.saturating_sub(self.now) + 1);
+                let event = Event::Inspect(Box::new(order.clone()), at as u64, worker.born_at);
                 self.schedule(wait.min(until_end), event);
             }
             Work::Stop { .. } | Work::Inspect { .. } => {}
         }
     }
 
-    fn answer_look(&mut self, order: &Order, at: usize) {
+    fn answer_inspection(&mut self, order: &Order, at: usize) {
         if !self.reaches(at) || self.workers[at].fence > order.fence {
             return;
         }
@@ -724,7 +724,8 @@
                     task,
                     run: run.run,
                     checkpoint: None,
-                    percent: ((now - run.began) * 100 / (run.ends - run.began).max(1)) as u32,
+                    percent: ((now - run.started_at) * 100 / (run.ends_at - run.started_at).max(1))
+                        as u32,
                 })
                 .collect(),
             ended: worker.ended.clone(),
@@ -747,7 +748,7 @@
         if until <= clock {
             return Reply::Declined(Declined::Late);
         }
-        let spec = self.sizes[&task.step.job][usize::from(task.step.step)].clone();
+        let spec = self.specs[&task.step.job][usize::from(task.step.step)].clone();
         let had_by = self.had_by.get(&task).into_iter().flatten();
         let elsewhere = had_by
             .map(|at| &self.workers[*at])
@@ -775,7 +776,7 @@
             "the runs on {} exceed its capacity",
             worker.report.id
         );
-        self.check_place(at, task, &spec);
+        self.check_placement(at, task, &spec);
         let job = &self.state.jobs[&task.step.job];
         let occurrence = job.occurrences.get(task.step.occurrence as usize);
         for before in &spec.after {
@@ -806,13 +807,13 @@
         self.first_start.entry(task.step).or_insert(self.now);
         self.started.insert(task);
         let ms = self.durations[&task.step.job];
-        if let Some(since) = self.away.remove(&task) {
+        if let Some(since) = self.waiting_since.remove(&task) {
             self.gaps.push((task, self.now - since));
         }
         let fails_at_random = self.rng.random_range(0..100) < self.workers[at].failure_percent;
         // One in ten long-running tasks fails after its run time.
         let fails_at_end = spec.long_running && task.index.is_multiple_of(10);
-        let lasts = spec.long_running && !fails_at_end;
+        let is_endless = spec.long_running && !fails_at_end;
         let worker = &mut self.workers[at];
         worker.deadline = worker.deadline.max(until);
         worker.starts += 1;
@@ -821,8 +822,8 @@
             task,
             Running {
                 run,
-                began: self.now,
-                ends: if worker.stalls || lasts {
+                started_at: self.now,
+                ends_at: if worker.stalls || is_endless {
                     u64::MAX / 2
                 } else if worker.always_fails {
                     self.now + 50
@@ -837,7 +838,7 @@
     }
 
     // Checks the label and the limit of tasks per worker.
-    fn check_place(&self, at: usize, task: TaskName, spec: &StepSpec) {
+    fn check_placement(&self, at: usize, task: TaskName, spec: &StepSpec) {
         let worker = &self.workers[at];
         let id = &worker.report.id;
         let fits = |label: &String| worker.report.labels.contains(label);
@@ -847,10 +848,10 @@
             spec.label
         );
         let beside = worker.runs.keys().filter(|other| other.step == task.step);
-        let most = usize::from(spec.max_per_worker);
+        let max = usize::from(spec.max_per_worker);
         let beside = beside.count();
         assert!(
-            most == 0 || beside < most,
+            max == 0 || beside < max,
             "{task} starts on {id}, which already runs {beside} tasks of the step"
         );
     }
@@ -864,10 +865,10 @@
             if clock > worker.deadline {
                 worker.expired_through = worker.next_end;
             }
-            let over: Vec<(TaskName, u32, Termination)> = worker
+            let ended_runs: Vec<(TaskName, u32, Termination)> = worker
                 .runs
                 .iter()
-                .filter(|(_, run)| clock > worker.deadline || now >= run.ends)
+                .filter(|(_, run)| clock > worker.deadline || now >= run.ends_at)
                 .map(|(&task, run)| {
                     let how = if clock > worker.deadline {
                         Termination::Lapsed
@@ -879,32 +880,34 @@
                     (task, run.run, how)
                 })
                 .collect();
-            for (task, run, how) in over {
+            for (task, run, how) in ended_runs {
                 worker.end(task, run, how);
                 ended.push(task);
             }
             // Leases are only ever extended, and a clock that is 2 % slow reaches the
             // expiry no earlier than an exact one, so nothing ends before this time.
-            let first = worker.runs.values().map(|r| r.ends).min();
-            let lapse = now + worker.deadline.saturating_sub(clock);
-            worker.idle_until = first.map_or(lapse, |ends| ends.min(lapse)).max(now + 1);
+            let first = worker.runs.values().map(|r| r.ends_at).min();
+            let expiry = now + worker.deadline.saturating_sub(clock);
+            worker.idle_until = first
+                .map_or(expiry, |ends_at| ends_at.min(expiry))
+                .max(now + 1);
         }
         for task in ended {
-            self.note_away(task);
+            self.record_waiting(task);
         }
     }
 
-    fn note_away(&mut self, task: TaskName) {
-        let spec = &self.sizes[&task.step.job][usize::from(task.step.step)];
+    fn record_waiting(&mut self, task: TaskName) {
+        let spec = &self.specs[&task.step.job][usize::from(task.step.step)];
         if spec.long_running && !self.cancelled.contains(&task.step.job) {
-            self.away.insert(task, self.now);
+            self.waiting_since.insert(task, self.now);
         }
     }
 
     fn drop_runs(&mut self, at: usize) {
         let runs = std::mem::take(&mut self.workers[at].runs);
         for task in runs.into_keys() {
-            self.note_away(task);
+            self.record_waiting(task);
         }
     }
 
@@ -959,7 +962,7 @@
             let answer = self.answers.get(&self.submit_calls[id]);
             answer == Some(&Answer::Done) || self.state.jobs.contains_key(id)
         };
-        self.sizes
+        self.specs
             .keys()
             .filter(|id| is_accepted(id))
             .filter(|id| !self.completed.contains_key(id) && !self.cancelled.contains(id))
