--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -100,9 +100,9 @@
             slots: 8,
             connections: 64,
         };
-        let cell = resource_of(&announcement);
+        let resource = resource_of(&announcement);
         gate.put_upstream(announcement, source, false);
-        gate.receive_slots(cell, 8);
+        gate.receive_slots(resource, 8);
     }
     gate
 }
@@ -134,8 +134,8 @@
     c.bench_function(name, |b| {
         b.iter(|| {
             now = now + Duration::from_micros(50);
-            let done = running.pop_front().expect("runs");
-            gate.finish(now, done, Completion::Answered);
+            let assignment = running.pop_front().expect("runs");
+            gate.finish(now, assignment, Completion::Answered);
             running.push_back(submit(&mut gate, now));
         });
     });
@@ -150,8 +150,8 @@
             number += 1;
             now = now + Duration::from_millis(1);
             let id = Id::of("team", &number.to_string());
-            let keep = Duration::from_secs(60);
-            black_box(table.claim(now, id, number, InstanceId(1), None, keep));
+            let retention = Duration::from_secs(60);
+            black_box(table.claim(now, id, number, InstanceId(1), None, retention));
             table.finish(id, InstanceId(1), None);
         });
     });
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -339,12 +339,12 @@
 }
 
 struct Report {
-    within: bool,
+    within_bounds: bool,
 }
 
 impl Report {
     fn row(&mut self, name: &str, value: &str, bound: &str, ok: bool) {
-        self.within &= ok;
+        self.within_bounds &= ok;
         let mark = if ok { "" } else { "  EXCEEDED" };
         println!("{name:<52}{value:>16}  {bound}{mark}");
     }
@@ -355,7 +355,9 @@
     if std::env::args().any(|arg| arg == "--test") {
         return ExitCode::SUCCESS;
     }
-    let mut report = Report { within: true };
+    let mut report = Report {
+        within_bounds: true,
+    };
     let sizes = [
         (48, 6, 600, 5_000.0, "5,000 a second"),
         (500, 220, 7_000, 380.0, "380 a second"),
@@ -418,7 +420,7 @@
         "baseline",
         true,
     );
-    if report.within {
+    if report.within_bounds {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -172,7 +172,7 @@
     cell.blocked.clear();
     cell.run_until(cell.time + 10_000_000, false);
     assert!((0..5).all(|at| cell.has_withdrawn(at, "home")));
-    assert!(cell.instances.iter().all(|h| h.version >= version));
+    assert!(cell.instances.iter().all(|i| i.version >= version));
     cell.heal_and_check();
 }
 
@@ -199,7 +199,7 @@
         self.run_until(self.time + 2_000_000, false);
         let pushed = Answer::Outcome(Outcome::Pushed(version + 1));
         assert_eq!(self.replies.get(&call), Some(&pushed));
-        for instance in self.instances.iter().filter(|h| h.control.is_some()) {
+        for instance in self.instances.iter().filter(|i| i.control.is_some()) {
             assert_eq!(instance.version, version + 1, "{}", instance.name);
         }
     }
@@ -280,7 +280,7 @@
     assert_eq!(won.iter().filter(|won| **won).count(), 2, "{won:?}");
     let winner = won.iter().position(|won| *won).expect("one");
     assert!(won[winner ^ 1], "a resent push gets the same answer");
-    assert!(cell.instances.iter().all(|h| h.version == 2));
+    assert!(cell.instances.iter().all(|i| i.version == 2));
 }
 
 #[test]
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -52,22 +52,22 @@
         .expect("number")
 }
 
-/// Returns the highest resource usage of any instance over `length`: CPU in percent of a core,
+/// Returns the highest resource usage of any instance over `duration`: CPU in percent of a core,
 /// resident memory in bytes, and bytes sent per second.
-async fn highest_usage(cell: &Cell, length: Duration) -> (f64, u64, u64) {
+async fn highest_usage(cell: &Cell, duration: Duration) -> (f64, u64, u64) {
     let mut before = Vec::new();
     for at in 0..cell.instances.len() {
         before.push((usage(cell.instances[at].pid()), sent_bytes(cell, at).await));
     }
-    sleep(length).await;
+    sleep(duration).await;
     let mut highest: (f64, u64, u64) = (0.0, 0, 0);
     for (at, ((cpu, _), bytes)) in before.into_iter().enumerate() {
         let (cpu_after, memory) = usage(cell.instances[at].pid());
         let sent = sent_bytes(cell, at).await - bytes;
-        let cpu_percent = (cpu_after - cpu).as_secs_f64() / length.as_secs_f64() * 100.0;
+        let cpu_percent = (cpu_after - cpu).as_secs_f64() / duration.as_secs_f64() * 100.0;
         highest.0 = highest.0.max(cpu_percent);
         highest.1 = highest.1.max(memory);
-        highest.2 = highest.2.max((sent as f64 / length.as_secs_f64()) as u64);
+        highest.2 = highest.2.max((sent as f64 / duration.as_secs_f64()) as u64);
     }
     highest
 }
@@ -178,12 +178,12 @@
             file.sync_data().expect("syncs");
             floor.push(started.elapsed());
         }
-        let mut trips = Vec::new();
+        let mut round_trips = Vec::new();
         let mut client = Client::new(cell.instances[0].http, None, WAIT_TIMEOUT);
         for _ in 0..200 {
             let started = Instant::now();
             client.send("GET", "/healthz", &[], "").await.expect("answers");
-            trips.push(started.elapsed());
+            round_trips.push(started.elapsed());
         }
         let mut commits = Vec::new();
         for at in 0..200 {
@@ -191,12 +191,12 @@
             cell.give("big", &format!("key-{at}"), None).await;
             commits.push(started.elapsed());
         }
-        for times in [&mut floor, &mut trips, &mut commits] {
+        for times in [&mut floor, &mut round_trips, &mut commits] {
             times.sort_unstable();
         }
         println!(
             "p50: sync {:?}, HTTP round trip {:?}, commit {:?}; p99 of commits {:?}",
-            floor[100], trips[100], commits[100], commits[197]
+            floor[100], round_trips[100], commits[100], commits[197]
         );
         let started = Instant::now();
         let gives = (0..500).map(|at| {
@@ -259,11 +259,11 @@
     async fn slope_of_workers() {
         let cell = Cell::serving(&["a", "a", "a"], 1, Duration::from_millis(5)).await;
         let entries: Vec<_> = cell.instances.iter().map(|i| i.http).collect();
-        let record: Arc<Mutex<worker::Stats>> = Arc::default();
+        let stats: Arc<Mutex<worker::Stats>> = Arc::default();
         let mut started = 0;
         for count in [0, 100, 200, 400] {
             while started < count {
-                let plan = worker::Options {
+                let options = worker::Options {
                     name: format!("w{started}"),
                     zone: "a".to_owned(),
                     rack: format!("r{}", started / 6),
@@ -277,7 +277,7 @@
                 // Each worker uses one instance, as it does behind a load balancer.
                 let entry = vec![entries[started % 3]];
                 let token = cell.token.child_token();
-                tokio::spawn(worker::run(plan, entry, None, Arc::clone(&record), token));
+                tokio::spawn(worker::run(options, entry, None, Arc::clone(&stats), token));
                 started += 1;
             }
             sleep(Duration::from_secs(5)).await;
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -41,7 +41,7 @@
 // Requests to many workers in turn must not exhaust the file descriptors: at the limit, the
 // connection that has been idle longest is closed.
 #[tokio::test]
-async fn idle_connections_make_way() {
+async fn longest_idle_connection_is_closed_at_the_limit() {
     let pool = Pool::with_max_open(3);
     for _ in 0..10 {
         let address = upstream().await;
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    async fn bad_answers_never_pass_for_whole() {
+    async fn malformed_answers_are_not_passed_on() {
         // A claim needs a second instance for its copy.
         let cell = Cell::serving(&["a", "a"], 1, Duration::from_millis(5)).await;
         let upstream = cell.all_upstreams()[0].clone();
@@ -187,7 +187,7 @@
         }
     }
 
-    async fn stop_during_the_start_is_orderly() {
+    async fn stop_during_start_up_is_graceful() {
         for _ in 0..10 {
             let mut cell = Cell::start(&["a"]).await;
             let started = Instant::now();
@@ -200,7 +200,7 @@
         }
     }
 
-    async fn planned_stop_under_load_cuts_nothing() {
+    async fn graceful_stop_under_load_aborts_no_request() {
         let mut cell = Cell::serving(&ZONE, 3, Duration::from_millis(30)).await;
         let mut tasks = Vec::new();
         for _ in 0..8 {
@@ -228,7 +228,7 @@
         assert!(cell.wait_for_exit(1).await, "ended with an error");
         let mut served = 0;
         for task in tasks {
-            served += task.await.expect("runs").expect("nothing was cut").0;
+            served += task.await.expect("runs").expect("no request was aborted").0;
         }
         assert!(served > 20);
         cell.check_capacity();
@@ -236,7 +236,7 @@
 
     async fn bad_input_gets_a_clear_answer_and_changes_nothing() {
         let cell = Cell::serving(&["a", "a"], 1, Duration::from_millis(5)).await;
-        let runs = || cell.all_upstreams()[0].stats(|l| l.runs.len());
+        let runs = || cell.all_upstreams()[0].stats(|stats| stats.runs.len());
         let before = runs();
         let big = "x".repeat(20_000);
         let cases = [
@@ -268,7 +268,7 @@
         assert_eq!(runs(), before + usize::from(first.0));
     }
 
-    async fn incredible_announcements_are_refused() {
+    async fn invalid_announcements_are_refused() {
         let cell = Cell::serving(&["a"], 1, Duration::from_millis(5)).await;
         let known = cell.all_upstreams()[0].clone();
         let announce = |name: &str, slots: u32, address: &str| {
--- a/tests/support/cell.rs
+++ b/tests/support/cell.rs
@@ -210,11 +210,11 @@
         } else {
             self.rng.random_range(300..5_000)
         };
-        let busy = self.latest_arrivals.entry((from, to)).or_default();
-        *busy = (self.time + delay).max(*busy + 1);
+        let arrival = self.latest_arrivals.entry((from, to)).or_default();
+        *arrival = (self.time + delay).max(*arrival + 1);
         self.sent += 1;
         self.in_flight
-            .insert((*busy, self.sent), (from, sender, to, input));
+            .insert((*arrival, self.sent), (from, sender, to, input));
     }
 
     /// Passes an input to an instance and processes its output.
@@ -246,8 +246,8 @@
                 break;
             }
             let stored = &mut self.instances[at].disk.stored;
-            if let Some(hard) = ready.hard_state {
-                stored.hard_state = hard;
+            if let Some(hard_state) = ready.hard_state {
+                stored.hard_state = hard_state;
             }
             if let Some(snapshot) = &ready.snapshot {
                 stored.snapshot = snapshot.clone();
@@ -269,7 +269,7 @@
         for effect in effects {
             match effect {
                 Effect::Send(to, body) => {
-                    let Some(to) = self.instances.iter().position(|h| h.id == to) else {
+                    let Some(to) = self.instances.iter().position(|i| i.id == to) else {
                         continue;
                     };
                     if !self.blocked.contains(&(at, to)) {
@@ -337,14 +337,14 @@
             )
         };
         *self.started_by.entry(at).or_default() += 1;
-        let length = self.rng.random_range(5_000..200_000);
-        let length = if self.rng.random_ratio(1, 50) {
+        let duration = self.rng.random_range(5_000..200_000);
+        let duration = if self.rng.random_ratio(1, 50) {
             RUN_LIMIT_US - 50_000
         } else {
-            length
+            duration
         };
         self.running.push(RunningRequest {
-            until: self.time + length,
+            until: self.time + duration,
             sender: self.instances[at].id,
             instance: at,
             assignment,
@@ -454,7 +454,7 @@
         }
     }
 
-    /// Runs the simulation up to `end`, with random faults if `disturbed`.
+    /// Runs the simulation up to `end`, with random faults if `with_faults`.
     pub fn run_until(&mut self, end: u64, with_faults: bool) {
         let mut next_tick = self.time;
         let mut ticks = 0u64;
@@ -523,8 +523,8 @@
             }
             1 => {
                 let at = self.rng.random_range(0..count);
-                let length = self.rng.random_range(300_000..5_000_000);
-                self.instances[at].paused_until = self.time + length;
+                let duration = self.rng.random_range(300_000..5_000_000);
+                self.instances[at].paused_until = self.time + duration;
             }
             2 => self.partition(),
             3..7 => self.blocked.clear(),
@@ -593,13 +593,13 @@
             let acting: Vec<&str> = self
                 .instances
                 .iter()
-                .filter(|h| h.zone == zone)
-                .filter(|h| {
-                    h.control
+                .filter(|i| i.zone == zone)
+                .filter(|i| {
+                    i.control
                         .as_ref()
-                        .is_some_and(|c| c.participant().may_act(h.clock(self.time)))
+                        .is_some_and(|c| c.participant().may_act(i.clock(self.time)))
                 })
-                .map(|h| h.name.as_str())
+                .map(|i| i.name.as_str())
                 .collect();
             assert!(
                 acting.len() <= 1,
@@ -653,7 +653,7 @@
             let fresh = control
                 .fresh_as_of()
                 .is_some_and(|as_of| now.0 < as_of.0 + FRESHNESS_US);
-            let dead = control.tombstones().contains("k")
+            let refused = control.tombstones().contains("k")
                 || control
                     .registry()
                     .keys
@@ -661,7 +661,7 @@
                     .is_some_and(|k| k.withdrawn);
             let bound = FRESHNESS_US + FRESHNESS_US / 100;
             assert!(
-                dead || !fresh || self.time < at + bound,
+                refused || !fresh || self.time < at + bound,
                 "seed {}: {} accepts a key that was withdrawn {} us ago",
                 self.seed,
                 instance.name,
@@ -754,9 +754,9 @@
                     instance.name, instance.id, u.holding
                 ));
             }
-            for h in control.allocator().into_iter().flat_map(|o| o.upstreams()) {
-                if h.announcement().name == upstream {
-                    lines.push(format!("allocator {}: {:?}", instance.name, h));
+            for u in control.allocator().into_iter().flat_map(|a| a.upstreams()) {
+                if u.announcement().name == upstream {
+                    lines.push(format!("allocator {}: {:?}", instance.name, u));
                 }
             }
         }
@@ -767,18 +767,18 @@
         let lines: Vec<String> = self
             .instances
             .iter()
-            .map(|h| {
-                let Some(control) = &h.control else {
-                    return format!("{}: down", h.name);
+            .map(|i| {
+                let Some(control) = &i.control else {
+                    return format!("{}: down", i.name);
                 };
-                let gate = h.gate.lock().expect("gate");
+                let gate = i.gate.lock().expect("gate");
                 format!(
-                    "{} {}: zone term {} named {} acts {} root {:?} applied {} teams {:?} slots {:?}",
-                    h.name,
-                    h.zone,
+                    "{} {}: zone term {} appointed {} may act {} root leader {:?} applied {} teams {:?} slots {:?}",
+                    i.name,
+                    i.zone,
                     control.participant().term(),
                     control.participant().is_appointed(),
-                    control.participant().may_act(h.clock(self.time)),
+                    control.participant().may_act(i.clock(self.time)),
                     control.replica().leader(),
                     control.registry().applied,
                     gate.team_stats()
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -170,7 +170,7 @@
 
     /// Starts a cell with the test configuration, keys and the given number of upstreams per
     /// zone, and waits until all instances serve requests.
-    pub async fn serving(zones: &[&str], upstreams: usize, service: Duration) -> Self {
+    pub async fn serving(zones: &[&str], upstreams: usize, service_time: Duration) -> Self {
         let cell = Self::start(zones).await;
         cell.configure(CONFIG).await;
         cell.give("big", "big-key", None).await;
@@ -178,7 +178,7 @@
         let names: HashSet<&str> = zones.iter().copied().collect();
         for zone in names {
             for at in 0..upstreams {
-                cell.upstream(zone, &format!("u-{zone}-{at}"), 4, service)
+                cell.upstream(zone, &format!("u-{zone}-{at}"), 4, service_time)
                     .await;
             }
         }
@@ -222,12 +222,12 @@
     pub async fn relayed_upstream(&self, zone: &str, name: &str) -> (Upstream, Relay) {
         let target = free_port();
         let relay = Relay::start(target).await;
-        let plan = Options {
+        let options = Options {
             port: Some(target.port()),
             advertised: Some(relay.address),
-            ..plan(zone, name, 4, Duration::from_millis(5))
+            ..options(zone, name, 4, Duration::from_millis(5))
         };
-        (self.start_upstream(plan).await, relay)
+        (self.start_upstream(options).await, relay)
     }
 
     pub async fn upstream(
@@ -235,14 +235,15 @@
         zone: &str,
         name: &str,
         slots: u32,
-        service: Duration,
+        service_time: Duration,
     ) -> Upstream {
-        self.start_upstream(plan(zone, name, slots, service)).await
+        self.start_upstream(options(zone, name, slots, service_time))
+            .await
     }
 
-    async fn start_upstream(&self, plan: Options) -> Upstream {
+    async fn start_upstream(&self, options: Options) -> Upstream {
         let entries = self.instances.iter().map(|i| i.http).collect();
-        let upstream = Upstream::start(plan, entries, None, self.token.child_token())
+        let upstream = Upstream::start(options, entries, None, self.token.child_token())
             .await
             .expect("starts");
         self.upstreams
@@ -330,21 +331,21 @@
     pub fn runs(&self, id: &str) -> u32 {
         self.all_upstreams()
             .iter()
-            .map(|u| u.stats(|l| l.runs.get(id).copied().unwrap_or(0)))
+            .map(|u| u.stats(|stats| stats.runs.get(id).copied().unwrap_or(0)))
             .sum()
     }
 
     /// Panics if an upstream ever had more requests or connections than it announced.
     pub fn check_capacity(&self) {
         for upstream in self.all_upstreams() {
-            upstream.stats(|l| {
+            upstream.stats(|stats| {
                 assert!(
-                    l.peak_running <= 4,
+                    stats.peak_running <= 4,
                     "{} ran {}",
                     upstream.name(),
-                    l.peak_running
+                    stats.peak_running
                 );
-                assert!(l.peak_connections <= 64, "{}", l.peak_connections);
+                assert!(stats.peak_connections <= 64, "{}", stats.peak_connections);
             });
         }
     }
@@ -391,14 +392,14 @@
     }
 }
 
-fn plan(zone: &str, name: &str, slots: u32, service: Duration) -> Options {
+fn options(zone: &str, name: &str, slots: u32, service_time: Duration) -> Options {
     Options {
         name: name.to_owned(),
         zone: zone.to_owned(),
         service: "orders".to_owned(),
         slots,
         connections: 64,
-        service_time: service,
+        service_time,
         reports_running: true,
         port: None,
         advertised: None,
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -26,11 +26,11 @@
         };
         let dropping = Arc::clone(&relay.dropping);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
+            while let Ok((client, _)) = listener.accept().await {
                 let dropping = Arc::clone(&dropping);
                 tokio::spawn(async move {
-                    if let Ok(far) = TcpStream::connect(target).await {
-                        forward_both(near, far, dropping).await;
+                    if let Ok(target_stream) = TcpStream::connect(target).await {
+                        forward_both(client, target_stream, dropping).await;
                     }
                 });
             }
@@ -44,20 +44,20 @@
     }
 }
 
-async fn forward_both(near: TcpStream, far: TcpStream, dropping: Arc<AtomicBool>) {
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+async fn forward_both(client: TcpStream, target_stream: TcpStream, dropping: Arc<AtomicBool>) {
+    let (client_read, client_write) = client.into_split();
+    let (target_read, target_write) = target_stream.into_split();
     let lost: Arc<AtomicBool> = Arc::default();
-    let there = forward(
-        near_read,
-        far_write,
+    let to_target = forward(
+        client_read,
+        target_write,
         Arc::clone(&dropping),
         Arc::clone(&lost),
     );
-    let back = forward(far_read, near_write, dropping, lost);
+    let to_client = forward(target_read, client_write, dropping, lost);
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = to_target => {}
+        () = to_client => {}
     }
 }
 
--- a/tests/tasks.rs
+++ b/tests/tasks.rs
@@ -13,10 +13,10 @@
 use tokio::time::{Instant, sleep};
 
 fn start_workers(cell: &Cell, zone: &str, count: usize) -> Arc<Mutex<Stats>> {
-    let record: Arc<Mutex<Stats>> = Arc::default();
+    let stats: Arc<Mutex<Stats>> = Arc::default();
     let entries: Vec<_> = cell.instances.iter().map(|i| i.http).collect();
     for at in 0..count {
-        let plan = worker::Options {
+        let options = worker::Options {
             name: format!("w-{zone}-{at}"),
             zone: zone.to_owned(),
             rack: format!("r{at}"),
@@ -28,10 +28,10 @@
             fails_tasks: false,
         };
         let token = cell.token.child_token();
-        let record = Arc::clone(&record);
-        tokio::spawn(worker::run(plan, entries.clone(), None, record, token));
+        let stats = Arc::clone(&stats);
+        tokio::spawn(worker::run(options, entries.clone(), None, stats, token));
     }
-    record
+    stats
 }
 
 async fn submit(cell: &Cell, at: usize, id: &str, tasks: u32) -> Option<Submitted> {
@@ -79,7 +79,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_survive_crash_and_pause_of_the_zone_leader() {
     let mut cell = Cell::serving(&["a", "a", "a"], 1, Duration::from_millis(5)).await;
-    let record = start_workers(&cell, "a", 3);
+    let stats = start_workers(&cell, "a", 3);
     let leader = cell.zone_leader(0, "a").await;
     let other = (leader + 1) % 3;
     let first = submit_until_accepted(&cell, other, "one", 60).await;
@@ -100,13 +100,13 @@
     // Submitting with the same idempotency key again returns the same job.
     let again = submit_until_accepted(&cell, follower, "three", 40).await;
     assert_eq!(again.id, third.id);
-    let record = record.lock().expect("record");
+    let stats = stats.lock().expect("stats");
     assert_eq!(
-        record.max_copies, 1,
+        stats.max_copies, 1,
         "a task ran on {} workers",
-        record.max_copies
+        stats.max_copies
     );
-    assert_eq!(record.completed, 120);
+    assert_eq!(stats.completed, 120);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/tests/timed.rs
+++ b/tests/timed.rs
@@ -59,15 +59,15 @@
         let upstreams = cell.all_upstreams();
         upstreams[0].set_leaving(true);
         sleep(Duration::from_millis(2_500)).await;
-        let before = upstreams[0].stats(|l| l.runs.len());
+        let before = upstreams[0].stats(|stats| stats.runs.len());
         for turn in 0..40 {
             let answer = cell.get(turn % 2, "big-key").await.expect("answers");
             assert!(answer.status().is_success(), "{answer:?}");
         }
-        assert_eq!(upstreams[0].stats(|l| l.runs.len()), before);
+        assert_eq!(upstreams[0].stats(|stats| stats.runs.len()), before);
     }
 
-    async fn withdrawn_key_is_dead_everywhere_within_two_seconds() {
+    async fn withdrawn_key_is_refused_everywhere_within_two_seconds() {
         let cell = Cell::serving(&["a", "b", "a", "b"], 1, Duration::from_millis(5)).await;
         cell.give("small", "doomed", None).await;
         for at in 0..4 {
@@ -159,14 +159,14 @@
                 }));
             }
             let started = Instant::now();
-            let mut most = 0;
+            let mut peak_running = 0;
             while started.elapsed() < Duration::from_secs(4) {
                 let running: u32 = cell
                     .all_upstreams()
                     .iter()
-                    .map(|u| u.stats(|l| l.running))
+                    .map(|u| u.stats(|stats| stats.running))
                     .sum();
-                most = most.max(running);
+                peak_running = peak_running.max(running);
                 assert!(running <= 8, "{running} running");
                 sleep(Duration::from_millis(5)).await;
             }
@@ -180,7 +180,7 @@
                 let within = |t: &&Instant| t.duration_since(started) >= from && t.duration_since(started) < to;
                 times.iter().filter(within).count()
             };
-            println!("zone {zone}: {} in the first second, {} in the third, most {most}", second(0, 1), second(2, 3));
+            println!("zone {zone}: {} in the first second, {} in the third, most {peak_running}", second(0, 1), second(2, 3));
             assert!(second(2, 3) >= 128, "{} requests per second of 160 possible", second(2, 3));
         }
     }
